--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -168,12 +168,12 @@
 	}
 	c.unsent = c.unsent[n:]
 	if len(c.unsent) > 0 {
-		c.server.Loop.Watch(c.fd, loop.Out)
+		c.server.Loop.Watch(c.fd, loop.Writable)
 		return
 	}
 	c.state = lingering
 	c.server.Loop.CloseWrite(c.fd)
-	c.server.Loop.Watch(c.fd, loop.In|loop.Hup)
+	c.server.Loop.Watch(c.fd, loop.Readable|loop.HangUp)
 	c.setTimeout(lingerTimeout, c.close)
 }
 
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -13,12 +13,12 @@
 // back until the server closes.
 func (s *testServer) exchange(request string, passMs float64) string {
 	s.T.Helper()
-	before := s.Counted(acceptedCounter)
+	before := s.CounterValue(acceptedCounter)
 	conn := s.dial(request)
 	if passMs > 0 {
-		s.WaitFor(acceptedCounter, before+1)
+		s.WaitForCounter(acceptedCounter, before+1)
 		time.Sleep(20 * time.Millisecond) // for the request to be read: either state's timeout gives the same response
-		s.Pass(passMs)
+		s.AdvanceTimers(passMs)
 	}
 	response, err := io.ReadAll(conn)
 	if err != nil {
--- a/internal/admin/helpers_test.go
+++ b/internal/admin/helpers_test.go
@@ -61,7 +61,7 @@
 		if err := s.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 			t.Error(err)
 		}
-		ts.address = epoll.Local(s.listener).String()
+		ts.address = epoll.LocalAddress(s.listener).String()
 	})
 	t.Cleanup(func() {
 		ts.Do(s.Close)
@@ -80,7 +80,7 @@
 		s.T.Fatal(err)
 	}
 	s.T.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(epolltest.Patience))
+	conn.SetDeadline(time.Now().Add(epolltest.Timeout))
 	io.WriteString(conn, text)
 	return conn
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.Loop.Add(fd, loop.In, s); err != nil {
+	if err := s.Loop.Add(fd, loop.Readable, s); err != nil {
 		s.Loop.Close(fd)
 		return err
 	}
@@ -135,7 +135,7 @@
 // serve begins to read from a new connection, whose descriptor it owns from then on.
 func (s *Server) serve(fd int) {
 	c := &connection{server: s, fd: fd, decoder: http1.NewAdminRequestDecoder()}
-	if err := s.Loop.Add(fd, loop.In|loop.Hup, c); err != nil {
+	if err := s.Loop.Add(fd, loop.Readable|loop.HangUp, c); err != nil {
 		s.Loop.Close(fd)
 		return
 	}
@@ -143,7 +143,7 @@
 	c.listElement = s.connections.PushBack(c)
 	c.lastActivity = s.Loop.Now()
 	c.setTimeout(requestTimeout, c.timeOut)
-	c.Ready(loop.In) // the request has often arrived already
+	c.Ready(loop.Readable) // the request has often arrived already
 }
 
 // pauseAccepting leaves new connections in the kernel's queue for a short time.
@@ -151,7 +151,7 @@
 	s.Loop.Watch(s.listener, 0)
 	s.Loop.After(acceptPause, func() {
 		if s.listener != closedDescriptor {
-			s.Loop.Watch(s.listener, loop.In)
+			s.Loop.Watch(s.listener, loop.Readable)
 		}
 	})
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -87,13 +87,13 @@
 			t.Errorf("status %d", status)
 		}
 	}
-	if n := s.Counted(shedCounter); n < 200 {
+	if n := s.CounterValue(shedCounter); n < 200 {
 		t.Errorf("%d connections shed", n)
 	}
 	newest := s.dial("")
-	s.WaitFor(acceptedCounter, 6*41+1)
+	s.WaitForCounter(acceptedCounter, 6*41+1)
 	for range maxConnections { // a pass ends at a timer that it has set
-		s.Pass(requestTimeout + 1)
+		s.AdvanceTimers(requestTimeout + 1)
 	}
 	if status, _ := response(t, newest); status != 408 {
 		t.Errorf("half a request: status %d", status)
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -158,7 +158,7 @@
 		if u.Revision != revision {
 			f.T.Errorf("revision %d, want %d", u.Revision, revision)
 		}
-	case <-time.After(epolltest.Patience):
+	case <-time.After(epolltest.Timeout):
 		f.T.Fatalf("no update with revision %d", revision)
 	}
 }
@@ -170,7 +170,7 @@
 	case entry := <-f.log:
 		err, _ := entry.Data[logrus.ErrorKey].(error)
 		return err
-	case <-time.After(epolltest.Patience):
+	case <-time.After(epolltest.Timeout):
 		f.T.Fatal("no failure is logged")
 		return nil
 	}
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -57,7 +57,7 @@
 	}
 	st.decoder = http1.NewResponseDecoder(st.onBody)
 	st.splitter = messageSplitter{onMessage: st.onMessage, onKeepalive: st.onKeepalive}
-	if err := l.Add(fd, loop.In|loop.Out|loop.Hup, st); err != nil {
+	if err := l.Add(fd, loop.Readable|loop.Writable|loop.HangUp, st); err != nil {
 		l.Close(fd)
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 		if err := st.loop.SocketError(st.fd); err != nil {
 			return err
 		}
-		st.connected = events&loop.Out != 0
+		st.connected = events&loop.Writable != 0
 	}
 	if !st.connected || len(st.unsent) == 0 {
 		return nil
@@ -134,7 +134,7 @@
 	}
 	st.unsent = st.unsent[n:]
 	if len(st.unsent) == 0 {
-		st.loop.Watch(st.fd, loop.In|loop.Hup)
+		st.loop.Watch(st.fd, loop.Readable|loop.HangUp)
 	}
 	return nil
 }
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -58,9 +58,9 @@
 	}
 	s = checkResumes(t, service, s, func(s *serverStream) {
 		s.sendHeader()
-		f.Pass(messageTimeout + 1)
+		f.AdvanceTimers(messageTimeout + 1)
 	}, "")
-	if n := f.Counted("watch_timeouts"); n == 0 {
+	if n := f.CounterValue("watch_timeouts"); n == 0 {
 		t.Error("the time-out is not counted")
 	}
 	s.sendHeader()
@@ -110,7 +110,7 @@
 	s.send(snapshot(1, member("s-1", "in_service")) + "\n")
 	select {
 	case <-f.updates:
-	case <-time.After(epolltest.Patience):
+	case <-time.After(epolltest.Timeout):
 		t.Fatal("no update")
 	}
 }
--- a/internal/discovery/timeout_test.go
+++ b/internal/discovery/timeout_test.go
@@ -26,18 +26,18 @@
 		first.sendHeader()
 		if tt.before != "" {
 			first.send(tt.before)
-			f.WaitFor("watch_keepalives", tt.keepalives)
-			f.WaitFor("watch_updates", tt.updates)
+			f.WaitForCounter("watch_keepalives", tt.keepalives)
+			f.WaitForCounter("watch_updates", tt.updates)
 		}
 		first.send(" ")
 		first.send("\t")
-		if f.Pass(tt.within); f.Counted("watch_timeouts") != 1 { // or the real time until the next stream would do
+		if f.AdvanceTimers(tt.within); f.CounterValue("watch_timeouts") != 1 { // or the real time until the next stream would do
 			t.Fatalf("%s: not timed out after %v ms", tt.name, tt.within)
 		}
 		second := service.next() // hangs
-		f.Pass(1100)
+		f.AdvanceTimers(1100)
 		third := service.next()
-		if n := f.Counted("watch_timeouts"); n != 2 {
+		if n := f.CounterValue("watch_timeouts"); n != 2 {
 			t.Errorf("%s: %d streams timed out, want 2", tt.name, n)
 		}
 		third.sendHeader()
@@ -60,15 +60,15 @@
 	first.sendHeader()
 	first.send(snapshot(43, member("s-1", "in_service")) + "\n")
 	f.expect(43)
-	f.Pass(3100)
+	f.AdvanceTimers(3100)
 	service.nextSnapshot() // hangs; the first stream may have missed 44 and 45
 	first.send("\n" + delta(46, member("s-1", "terminating")))
 	f.expect(46)
-	f.Pass(1100)
+	f.AdvanceTimers(1100)
 	third := service.nextSnapshot()
 	third.sendHeader()
 	third.send(snapshot(45, member("s-1", "in_service"))) // sent before the update with revision 46
-	f.WaitFor("watch_implausible", 1)
+	f.WaitForCounter("watch_implausible", 1)
 	fourth := service.nextSnapshot()
 	fourth.sendHeader()
 	fourth.send(snapshot(7, member("s-1", "in_service"))) // the revisions started anew: this is the true state
@@ -105,7 +105,7 @@
 	s.sendHeader()
 	s.send(snapshot(43, ready) + snapshot(44))
 	f.expect(43)
-	f.WaitFor("watch_implausible", 1)
+	f.WaitForCounter("watch_implausible", 1)
 	if err := f.loggedError(); !errors.Is(err, EmptySnapshot) {
 		t.Errorf("logged %v, want %v", err, EmptySnapshot)
 	}
@@ -114,7 +114,7 @@
 	s.send(snapshot(45, ready))
 	f.expect(45)
 	s.send(snapshot(46))
-	f.WaitFor("watch_implausible", 2)
+	f.WaitForCounter("watch_implausible", 2)
 	s = service.nextSnapshot()
 	s.sendHeader()
 	s.send(snapshot(46))
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -5,7 +5,7 @@
 // expectAddressChanges checks the counter of address changes.
 func (f *fixture) expectAddressChanges(want uint64) {
 	f.T.Helper()
-	if n := f.Counted("watch_address_changes"); n != want {
+	if n := f.CounterValue("watch_address_changes"); n != want {
 		f.T.Errorf("%d address changes, want %d", n, want)
 	}
 }
@@ -59,7 +59,7 @@
 	f.expect(43)
 	f.setAddress(to)
 	hanging := to.next()
-	f.Pass(1100)
+	f.AdvanceTimers(1100)
 	answered := to.next()
 	old.send(delta(44, member("s-2", "in_service")) + "\n")
 	f.expect(44)
--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -49,7 +49,7 @@
 		s.overflowConns++
 	}
 	c.startReading()
-	if err := s.Loop.Add(fd, loop.In|loop.Hup, c); err != nil {
+	if err := s.Loop.Add(fd, loop.Readable|loop.HangUp, c); err != nil {
 		c.unregister()
 		s.Loop.Close(fd)
 		return
@@ -57,7 +57,7 @@
 	if s.queuedSince != 0 {
 		s.Loop.MarkUnreadSince(fd, s.queuedSince)
 	}
-	c.Ready(loop.In) // the request is often there already
+	c.Ready(loop.Readable) // the request is often there already
 }
 
 // pauseAccepting leaves new connections in the listener's queue for acceptRetryInterval.
@@ -69,7 +69,7 @@
 	s.Loop.Watch(s.listener, 0)
 	s.Loop.After(acceptRetryInterval, func() {
 		if s.listener >= 0 {
-			s.Loop.Watch(s.listener, loop.In)
+			s.Loop.Watch(s.listener, loop.Readable)
 		}
 	})
 }
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -24,14 +24,14 @@
 			if x != y {
 				t.Error("another exchange was disconnected")
 			}
-		case <-time.After(epolltest.Patience):
+		case <-time.After(epolltest.Timeout):
 			t.Fatal("the disconnect was not reported")
 		}
 	}
 	c := s.connect() // in the middle of a request: there is no exchange
 	c.send(getRequest("1")[:30])
 	c.Close()
-	s.WaitFor("client_connections_open", 0)
+	s.WaitForCounter("client_connections_open", 0)
 	if len(s.accepted) > 0 {
 		t.Error("a partial request was accepted")
 	}
@@ -54,7 +54,7 @@
 			t.Error("a client that has closed counts as connected")
 		}
 	})
-	if disconnected := <-s.disconnected; disconnected != x || len(s.accepted) != 0 || s.Counted("client_connections_open") != 0 {
-		t.Errorf("%v disconnected, %d more accepted, %d connections", disconnected, len(s.accepted), s.Counted("client_connections_open"))
+	if disconnected := <-s.disconnected; disconnected != x || len(s.accepted) != 0 || s.CounterValue("client_connections_open") != 0 {
+		t.Errorf("%v disconnected, %d more accepted, %d connections", disconnected, len(s.accepted), s.CounterValue("client_connections_open"))
 	}
 }
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -134,7 +134,7 @@
 	c = s.connect()
 	c.send("GET /read")
 	s.waitForPartialRequest()
-	s.Pass(requestTimeout + 1)
+	s.AdvanceTimers(requestTimeout + 1)
 	c.expectBytes("partial request", statusLine("408 Request Timeout")+last)
 }
 
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -58,7 +58,7 @@
 	}
 	s.server = NewServer(Options{
 		Loop:          s.Loop,
-		Table:         loop.NewDescriptorTable(descriptors),
+		Descriptors:   loop.NewDescriptorLimiter(descriptors),
 		Buffers:       bodystream.NewBufferPool(8),
 		OverflowLimit: overflowLimit,
 		Counters:      &s.Count,
@@ -79,7 +79,7 @@
 			t.Error(err)
 		}
 	})
-	s.addr = epoll.Local(s.server.listener).String()
+	s.addr = epoll.LocalAddress(s.server.listener).String()
 	return s
 }
 
@@ -103,7 +103,7 @@
 		s.T.Fatal(err)
 	}
 	s.T.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(epolltest.Patience))
+	c.SetDeadline(time.Now().Add(epolltest.Timeout))
 	return &client{c.(*net.TCPConn), bufio.NewReader(c), s.T}
 }
 
@@ -113,7 +113,7 @@
 	select {
 	case x := <-s.accepted:
 		return x
-	case <-time.After(epolltest.Patience):
+	case <-time.After(epolltest.Timeout):
 		s.T.Fatal("no request was accepted")
 		return nil
 	}
@@ -151,9 +151,9 @@
 	}
 }
 
-// busyWait waits on the loop, which handles nothing meanwhile, until a condition holds or epolltest.Patience has passed.
+// busyWait waits on the loop, which handles nothing meanwhile, until a condition holds or epolltest.Timeout has passed.
 func busyWait(condition func() bool) {
-	for end := time.Now().Add(epolltest.Patience); !condition() && time.Now().Before(end); {
+	for end := time.Now().Add(epolltest.Timeout); !condition() && time.Now().Before(end); {
 		runtime.Gosched()
 	}
 }
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -22,7 +22,7 @@
 	l.started = true
 	c.server.Loop.CloseWrite(c.fd)
 	c.startTimer(l.timeout, l.finish)
-	c.server.Loop.Watch(c.fd, loop.In|loop.Hup)
+	c.server.Loop.Watch(c.fd, loop.Readable|loop.HangUp)
 	l.discard()
 }
 
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -103,7 +103,7 @@
 		if _, body := got.response(); body != "one" {
 			t.Errorf("response %q", body)
 		}
-	case <-time.After(epolltest.Patience):
+	case <-time.After(epolltest.Timeout):
 		t.Fatal("the client neither connects nor fails to")
 	}
 }
--- a/internal/downstream/overflow_test.go
+++ b/internal/downstream/overflow_test.go
@@ -14,7 +14,7 @@
 	for range 6 {
 		all = append(all, s.connect())
 	}
-	s.WaitFor("client_connections_accepted", 6)
+	s.WaitForCounter("client_connections_accepted", 6)
 	seventh := s.connect()
 	seventh.send(getRequest("7"))
 	if resp, _ := seventh.response(); resp.StatusCode != 503 || !resp.Close {
@@ -30,9 +30,9 @@
 		c.Close()
 		seventh.Close()
 	}
-	s.WaitFor("client_connections_open", 5)
-	if s.Counted("client_connections_shed") != 0 || s.Counted("client_overflow_rejected") != 1 {
-		t.Errorf("%d connections shed, %d requests rejected", s.Counted("client_connections_shed"), s.Counted("client_overflow_rejected"))
+	s.WaitForCounter("client_connections_open", 5)
+	if s.CounterValue("client_connections_shed") != 0 || s.CounterValue("client_overflow_rejected") != 1 {
+		t.Errorf("%d connections shed, %d requests rejected", s.CounterValue("client_connections_shed"), s.CounterValue("client_overflow_rejected"))
 	}
 	s.Do(func() { // as if minInactivity had passed
 		for e := s.server.readingConns.Front(); e != nil; e = e.Next() {
@@ -43,7 +43,7 @@
 		s.connect().send(getRequest(txn))
 		s.nextExchange()
 	}
-	if n := s.Counted("client_connections_shed"); n != 1 {
+	if n := s.CounterValue("client_connections_shed"); n != 1 {
 		t.Errorf("%d connections shed, want 1", n)
 	}
 }
@@ -75,7 +75,7 @@
 			c.response()
 		}
 		c.send(tt.sent)
-		s.WaitFor("client_connections_open", 1)
+		s.WaitForCounter("client_connections_open", 1)
 		var got bool
 		if tt.sent != "" {
 			s.waitForPartialRequest()
@@ -99,21 +99,21 @@
 	first := s.connect()
 	s.connect()
 	s.connect()
-	s.WaitFor("client_connections_open", 3)
+	s.WaitForCounter("client_connections_open", 3)
 	c := s.connect()
-	s.WaitFor("client_connections_open", 4)
+	s.WaitForCounter("client_connections_open", 4)
 	first.Close()
-	s.WaitFor("client_connections_open", 3)
+	s.WaitForCounter("client_connections_open", 3)
 	c.send(getRequest("1"))
 	s.serve(s.nextExchange(), "ok")
 	if _, got := c.response(); got != "ok" {
 		t.Errorf("response %q", got)
 	}
 	c.Close()
-	s.WaitFor("client_connections_open", 2)
+	s.WaitForCounter("client_connections_open", 2)
 	s.Do(func() {
-		if s.server.overflowConns != 0 || s.server.quota.Open() != 2 {
-			t.Errorf("%d overflow connections, %d in the table", s.server.overflowConns, s.server.quota.Open())
+		if s.server.overflowConns != 0 || s.server.quota.InUse() != 2 {
+			t.Errorf("%d overflow connections, %d in the table", s.server.overflowConns, s.server.quota.InUse())
 		}
 	})
 }
@@ -124,10 +124,10 @@
 	for range 3 {
 		s.connect()
 	}
-	s.WaitFor("client_connections_open", 3)
+	s.WaitForCounter("client_connections_open", 3)
 	c := s.connect()
 	c.send(getRequest("1")[:40])
-	s.WaitFor("client_connections_open", 4)
+	s.WaitForCounter("client_connections_open", 4)
 	s.Do(func() {
 		for !s.server.readingConns.Back().Value.(*conn).reader.decoder.Started() { // until the first bytes are received
 			s.server.readingConns.Back().Value.(*conn).reader.read()
--- a/internal/downstream/pending.go
+++ b/internal/downstream/pending.go
@@ -14,7 +14,7 @@
 }
 
 func (p *pendingResponse) ready(events uint32) {
-	if events&(loop.Hup|loop.Error) != 0 {
+	if events&(loop.HangUp|loop.Failed) != 0 {
 		p.conn.clientDisconnected()
 	}
 }
--- a/internal/downstream/reader.go
+++ b/internal/downstream/reader.go
@@ -154,7 +154,7 @@
 // dispatch hands over the complete request of the decoder.
 func (r *requestReader) dispatch() {
 	r.conn.stopReading()
-	r.conn.server.Loop.Watch(r.conn.fd, loop.Hup)
+	r.conn.server.Loop.Watch(r.conn.fd, loop.HangUp)
 	r.conn.dispatch(r.decoder.Request())
 }
 
--- a/internal/downstream/reader_test.go
+++ b/internal/downstream/reader_test.go
@@ -50,7 +50,7 @@
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
 	c.send(getRequest("1")[:40])
-	s.WaitFor("client_connections_open", 1)
+	s.WaitForCounter("client_connections_open", 1)
 	for before := 0.0; before == 0; {
 		s.Do(func() {
 			if c := s.server.readingConns.Front().Value.(*conn); c.reader.decoder.Started() {
@@ -119,7 +119,7 @@
 	} {
 		s := newTestServer(t, 64, 4)
 		c := s.connect()
-		s.WaitFor("client_connections_accepted", 1)
+		s.WaitForCounter("client_connections_accepted", 1)
 		var before, after float64
 		s.Do(func() { before, _ = s.Loop.Timers.Next() })
 		for _, p := range tt.pieces {
@@ -133,15 +133,15 @@
 		if extended := after - before; extended != 0 && (tt.name != "partial body" || extended > bodyProgressInterval) {
 			t.Errorf("%s: the timeout was extended by %.1f ms", tt.name, extended)
 		}
-		s.Pass(requestTimeout + 1)
+		s.AdvanceTimers(requestTimeout + 1)
 		if tt.status > 0 {
 			if resp, _ := c.response(); resp.StatusCode != tt.status {
 				t.Errorf("%s: status %d", tt.name, resp.StatusCode)
 			}
 		}
 		c.expectEOF()
-		idleClosed := s.Counted("client_connections_idle_closed")
-		timedOut := s.Counted("client_requests_timed_out")
+		idleClosed := s.CounterValue("client_connections_idle_closed")
+		timedOut := s.CounterValue("client_requests_timed_out")
 		if idleClosed+timedOut != 1 || (timedOut == 1) != (tt.status > 0) {
 			t.Errorf("%s: %d idle connections closed, %d requests timed out", tt.name, idleClosed, timedOut)
 		}
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -49,11 +49,11 @@
 }
 
 func (w *responseWriter) ready(events uint32) {
-	if events&loop.Error != 0 {
+	if events&loop.Failed != 0 {
 		w.conn.fail(reasonConnectionBroken)
 		return
 	}
-	if events&loop.Out != 0 {
+	if events&loop.Writable != 0 {
 		w.write()
 	}
 }
@@ -80,7 +80,7 @@
 		return
 	}
 	c.startReading()
-	c.server.Loop.Watch(c.fd, loop.In|loop.Hup)
+	c.server.Loop.Watch(c.fd, loop.Readable|loop.HangUp)
 	c.reader.resume()
 }
 
@@ -125,9 +125,9 @@
 
 // watchWritable waits until the kernel accepts more.
 func (w *responseWriter) watchWritable() {
-	events := uint32(loop.Out)
+	events := uint32(loop.Writable)
 	if w.conn.stream.active() {
-		events |= loop.Hup
+		events |= loop.HangUp
 	}
 	w.conn.server.Loop.Watch(w.conn.fd, events)
 }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -31,8 +31,8 @@
 // Options is what a server works with.
 type Options struct {
 	Loop          *loop.Loop
-	Table         *loop.DescriptorTable
-	OverflowLimit int // connections beyond the table, whose requests are rejected with 503
+	Descriptors   *loop.DescriptorLimiter
+	OverflowLimit int // connections beyond the quota, whose requests are rejected with 503
 	Counters      *counter.Set
 	Buffers       *bodystream.BufferPool
 	Synced        func() bool   // whether the endpoint list and the overrides in force are known
@@ -57,11 +57,11 @@
 	settings       *Settings
 	listener       int // descriptor, -1 while there is none
 	conns          map[*conn]struct{}
-	openRequestIDs map[string]struct{} // of the requests that have no response yet
-	readingConns   *list.List          // of *conn without a complete request, the least recently active first
-	overflowConns  int                 // connections beyond the table
-	quota          *loop.Quota         // of the descriptor table
-	queuedSince    balance.Millis      // earliest arrival of connections that could not be accepted, 0 if there are none
+	openRequestIDs map[string]struct{}   // of the requests that have no response yet
+	readingConns   *list.List            // of *conn without a complete request, the least recently active first
+	overflowConns  int                   // connections beyond the quota
+	quota          *loop.DescriptorQuota // its part of the descriptors
+	queuedSince    balance.Millis        // earliest arrival of connections that could not be accepted, 0 if there are none
 	drain          drain
 	readBuffer     []byte // shared by all connections; valid until the next read
 	counters       counters
@@ -86,7 +86,7 @@
 		counters:       newCounters(o.Counters),
 	}
 	o.Counters.Gauge("client_connections_open", func() uint64 { return uint64(len(s.conns)) })
-	s.quota = o.Table.NewQuota(s.shedIdle)
+	s.quota = o.Descriptors.NewQuota(s.shedIdle)
 	return s
 }
 
@@ -112,7 +112,7 @@
 
 // ListenOn accepts connections from a socket that listens already, and owns it from now on.
 func (s *Server) ListenOn(fd int) error {
-	if err := s.Loop.Add(fd, loop.In, s); err != nil {
+	if err := s.Loop.Add(fd, loop.Readable, s); err != nil {
 		s.Loop.Close(fd)
 		return err
 	}
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -42,7 +42,7 @@
 	if resp, _ := c.response(); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("status %d, closes %v after RejectFrom", resp.StatusCode, resp.Close)
 	}
-	if n := s.Counted("client_shutdown_rejected"); n != 1 {
+	if n := s.CounterValue("client_shutdown_rejected"); n != 1 {
 		t.Errorf("%d requests rejected by the shutdown, want 1", n)
 	}
 	c.Close()
@@ -88,7 +88,7 @@
 	late.Close()
 	select {
 	case <-done:
-	case <-time.After(epolltest.Patience):
+	case <-time.After(epolltest.Timeout):
 		t.Fatal("the shutdown does not end")
 	}
 	if c, err := net.Dial("tcp", s.addr); err == nil {
@@ -120,7 +120,7 @@
 	s := newTestServer(t, 64, 4)
 	s.shutdown(longestDeadline, func() {})
 	c := s.connect()
-	s.WaitFor("client_connections_accepted", 1)
+	s.WaitForCounter("client_connections_accepted", 1)
 	for closed := false; !closed; time.Sleep(time.Millisecond) {
 		s.Do(func() { closed = s.server.listener < 0 })
 	}
@@ -140,7 +140,7 @@
 	never.send(text[:30])
 	upload.send("POST /pay HTTP/1.1\r\nX-Txn: 9\r\nX-Lane: pay\r\nX-Remaining: 1\r\nContent-Length: 999999\r\n\r\nabc")
 	u := s.nextExchange()
-	s.WaitFor("client_connections_accepted", 3)
+	s.WaitForCounter("client_connections_accepted", 3)
 	var schedule shutdown.Schedule
 	s.Do(func() {
 		schedule = shutdown.New(s.Loop.Now(), longestDeadline)
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -42,7 +42,7 @@
 }
 
 func (s *responseStream) ready(events uint32) {
-	if events&(loop.Hup|loop.Error) != 0 {
+	if events&(loop.HangUp|loop.Failed) != 0 {
 		s.conn.fail(reasonConnectionBroken)
 		return
 	}
@@ -71,7 +71,7 @@
 	case s.stream.State() == bodystream.Incomplete: // the close shows the client that the response is truncated
 		c.fail(reasonResponseTruncated)
 	default:
-		c.server.Loop.Watch(c.fd, loop.Hup)
+		c.server.Loop.Watch(c.fd, loop.HangUp)
 	}
 	return false
 }
--- a/internal/downstream/upload.go
+++ b/internal/downstream/upload.go
@@ -30,7 +30,7 @@
 	r.Stream = stream
 	stream.OnWritable(func() {
 		if c.upload.stream == stream {
-			c.server.Loop.Watch(c.fd, loop.In|loop.Hup)
+			c.server.Loop.Watch(c.fd, loop.Readable|loop.HangUp)
 		}
 	})
 	c.server.counters.requestsStreamed.Inc()
@@ -51,7 +51,7 @@
 }
 
 func (u *upload) ready(events uint32) {
-	if events&loop.Error != 0 {
+	if events&loop.Failed != 0 {
 		u.conn.clientDisconnected()
 		return
 	}
@@ -114,7 +114,7 @@
 	c.state = &c.pending
 	c.reader.unread = following
 	c.stopTimer()
-	c.server.Loop.Watch(c.fd, loop.Hup)
+	c.server.Loop.Watch(c.fd, loop.HangUp)
 	c.startDeadline(x, x.Message.(*http1.Request))
 	stream.Finish()
 	if c.pending.exchange == x {
--- a/internal/downstream/validate_test.go
+++ b/internal/downstream/validate_test.go
@@ -56,7 +56,7 @@
 		if tt.closes {
 			c.expectEOF()
 		}
-		if n := s.Counted("requests_malformed"); n != uint64(i+1) {
+		if n := s.CounterValue("requests_malformed"); n != uint64(i+1) {
 			t.Errorf("%s: %d malformed requests counted, want %d", tt.name, n, i+1)
 		}
 	}
--- a/internal/epoll/epolltest/epolltest.go
+++ b/internal/epoll/epolltest/epolltest.go
@@ -13,8 +13,8 @@
 	"salttrack/internal/simulation/faultinject"
 )
 
-// Patience bounds a wait for something that has to happen. No test depends on how long anything takes.
-const Patience = 10 * time.Second
+// Timeout bounds a wait for something that has to happen. No test depends on how long anything takes.
+const Timeout = 10 * time.Second
 
 // Rig is a loop that runs until the test ends, and a set of counters.
 type Rig struct {
@@ -57,11 +57,11 @@
 	<-done
 }
 
-// Pass runs the timers that are due within a duration, in milliseconds, as if it had passed.
-func (r *Rig) Pass(ms float64) { r.Do(func() { r.Loop.Timers.Run(r.Loop.Now() + ms) }) }
+// AdvanceTimers runs the timers that are due within a duration, in milliseconds, as if it had passed.
+func (r *Rig) AdvanceTimers(ms float64) { r.Do(func() { r.Loop.Timers.Run(r.Loop.Now() + ms) }) }
 
-// Counted returns the value of a counter.
-func (r *Rig) Counted(name string) (value uint64) {
+// CounterValue returns the value of a counter.
+func (r *Rig) CounterValue(name string) (value uint64) {
 	r.T.Helper()
 	r.Do(func() {
 		var ok bool
@@ -72,12 +72,12 @@
 	return value
 }
 
-// WaitFor waits until a counter has a value.
-func (r *Rig) WaitFor(name string, want uint64) {
+// WaitForCounter waits until a counter has a value.
+func (r *Rig) WaitForCounter(name string, want uint64) {
 	r.T.Helper()
-	for deadline := time.Now().Add(Patience); r.Counted(name) != want; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(Timeout); r.CounterValue(name) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			r.T.Fatalf("%s is %d, want %d", name, r.Counted(name), want)
+			r.T.Fatalf("%s is %d, want %d", name, r.CounterValue(name), want)
 		}
 	}
 }
@@ -105,12 +105,12 @@
 // Next waits for a connection, which is closed when the test ends.
 func (l *Listener) Next() *net.TCPConn {
 	l.t.Helper()
-	l.SetDeadline(time.Now().Add(Patience))
+	l.SetDeadline(time.Now().Add(Timeout))
 	c, err := l.AcceptTCP()
 	if err != nil {
 		l.t.Fatal(err)
 	}
 	l.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(Patience))
+	c.SetDeadline(time.Now().Add(Timeout))
 	return c
 }
--- a/internal/epoll/kernel.go
+++ b/internal/epoll/kernel.go
@@ -40,7 +40,7 @@
 	}
 	now := time.Now()
 	k := &Kernel{epollFD: epollFD, wakeFD: wakeFD, start: now, startUnix: unixMilliseconds(now)}
-	if err := k.Add(wakeFD, loop.In, wakeGeneration); err != nil {
+	if err := k.Add(wakeFD, loop.Readable, wakeGeneration); err != nil {
 		k.Release()
 		return nil, err
 	}
--- a/internal/epoll/socket.go
+++ b/internal/epoll/socket.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// Local returns the address that a socket is bound to, the zero value if there is none.
-func Local(fd int) netip.AddrPort {
+// LocalAddress returns the address that a socket is bound to, the zero value if there is none.
+func LocalAddress(fd int) netip.AddrPort {
 	sockaddr, err := unix.Getsockname(fd)
 	if err != nil {
 		return netip.AddrPort{}
--- a/internal/epoll/socket_test.go
+++ b/internal/epoll/socket_test.go
@@ -27,7 +27,7 @@
 	if _, err := Accept(listener); err != unix.EAGAIN {
 		t.Errorf("accept without a connection: %v", err)
 	}
-	client, err := Connect(Local(listener))
+	client, err := Connect(LocalAddress(listener))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 }
 
 func TestListenFails(t *testing.T) {
-	if _, err := Listen(Local(listenLoopback(t))); err == nil {
+	if _, err := Listen(LocalAddress(listenLoopback(t))); err == nil {
 		t.Error("two listeners have one address")
 	}
 	if _, err := Listen(netip.MustParseAddrPort("192.0.2.1:80")); err == nil || os.IsNotExist(err) {
--- a/internal/loop/kernel.go
+++ b/internal/loop/kernel.go
@@ -8,10 +8,10 @@
 
 // The events of a descriptor.
 const (
-	In    = unix.EPOLLIN                  // there is something to read
-	Out   = unix.EPOLLOUT                 // something can be written
-	Hup   = unix.EPOLLRDHUP               // the peer has closed the connection or its writing side
-	Error = unix.EPOLLERR | unix.EPOLLHUP // the socket has an error or both sides are closed; always reported
+	Readable = unix.EPOLLIN                  // there is something to read
+	Writable = unix.EPOLLOUT                 // something can be written
+	HangUp   = unix.EPOLLRDHUP               // the peer has closed the connection or its writing side
+	Failed   = unix.EPOLLERR | unix.EPOLLHUP // the socket has an error or both sides are closed; always reported
 )
 
 // Event says that a descriptor is ready: Fd is the descriptor, Pad the generation under which it was added.
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -32,7 +32,7 @@
 func TestEarliestArrival(t *testing.T) {
 	l := newLoop(t)
 	fd, peer := socketPair(t)
-	l.Add(fd, loop.In, handlerFunc(func(uint32) {}))
+	l.Add(fd, loop.Readable, handlerFunc(func(uint32) {}))
 	send(t, peer)
 	turn(t, l)
 	before := l.LastWaitEnd()
@@ -48,7 +48,7 @@
 	l := newLoop(t)
 	order := ""
 	fd, peer := socketPair(t)
-	l.Add(fd, loop.In, handlerFunc(func(uint32) {
+	l.Add(fd, loop.Readable, handlerFunc(func(uint32) {
 		var p [1]byte
 		epoll.Read(fd, p[:])
 		order += "read "
--- a/internal/loop/quota_test.go
+++ b/internal/loop/quota_test.go
@@ -8,11 +8,11 @@
 
 // connections is a user of a table with a number of idle connections.
 type connections struct {
-	quota *loop.Quota
+	quota *loop.DescriptorQuota
 	idle  int
 }
 
-func newConnections(table *loop.DescriptorTable) *connections {
+func newConnections(table *loop.DescriptorLimiter) *connections {
 	c := &connections{}
 	c.quota = table.NewQuota(func() bool {
 		if c.idle == 0 {
@@ -44,18 +44,18 @@
 }
 
 func TestQuota(t *testing.T) {
-	table := loop.NewDescriptorTable(8)
+	table := loop.NewDescriptorLimiter(8)
 	a, b := newConnections(table), newConnections(table)
 	acquireAll(t, a, b)
-	if table.Open() != 8 {
-		t.Errorf("%d are open", table.Open())
+	if table.InUse() != 8 {
+		t.Errorf("%d are open", table.InUse())
 	}
 	a.idle = 1
-	if !b.quota.Acquire() || a.idle != 0 || table.Open() != 8 || !b.quota.NearlyExhausted() {
+	if !b.quota.Acquire() || a.idle != 0 || table.InUse() != 8 || !b.quota.NearlyExhausted() {
 		t.Error("an idle connection of the other user is not closed for a new one")
 	}
 	b.idle = 1
-	if !b.quota.Acquire() || b.idle != 0 || table.Open() != 8 {
+	if !b.quota.Acquire() || b.idle != 0 || table.InUse() != 8 {
 		t.Error("an idle connection of the same user is not closed for a new one")
 	}
 	b.quota.Release()
--- a/internal/loop/watch.go
+++ b/internal/loop/watch.go
@@ -100,7 +100,7 @@
 			if w.handler == nil || w.generation != event.Pad || w.prioritized != prioritized || w.paused {
 				continue
 			}
-			if reported := event.Events & (w.events | Error); reported != 0 {
+			if reported := event.Events & (w.events | Failed); reported != 0 {
 				w.handler.Ready(reported)
 			} else {
 				l.dropStaleWatch(int(event.Fd))
--- a/internal/loop/watch_test.go
+++ b/internal/loop/watch_test.go
@@ -20,11 +20,11 @@
 			if c != *other {
 				t.Skip("the kernel gave another number")
 			}
-			l.Add(c, loop.In, handlerFunc(func(uint32) { newCalls++ }))
+			l.Add(c, loop.Readable, handlerFunc(func(uint32) { newCalls++ }))
 		}
 	}
-	l.Add(a, loop.In, replace(&b))
-	l.Add(b, loop.In, replace(&a))
+	l.Add(a, loop.Readable, replace(&b))
+	l.Add(b, loop.Readable, replace(&a))
 	send(t, peerA)
 	send(t, peerB)
 	turn(t, l)
@@ -40,7 +40,7 @@
 		order := ""
 		for _, name := range []string{"a", "b", "prioritized", "c"} {
 			fd, peer := socketPair(t)
-			l.Add(fd, loop.In, handlerFunc(func(uint32) { order += name + " " }))
+			l.Add(fd, loop.Readable, handlerFunc(func(uint32) { order += name + " " }))
 			if name == "prioritized" {
 				l.Prioritize(fd)
 			}
--- a/internal/node/activity.go
+++ b/internal/node/activity.go
@@ -41,7 +41,7 @@
 func (n *Node) Unreleased() Unreleased {
 	return Unreleased{
 		InFlight:    n.InFlight(),
-		Connections: n.descriptors.Open(),
+		Connections: n.descriptors.InUse(),
 		Timers:      n.loop.Timers.Len() - n.driver.PendingTimers(),
 		Watches:     n.loop.Watched(),
 	}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -79,11 +79,11 @@
 // dialWhenListening connects to the balancer as soon as it listens.
 func (r *runningBalancer) dialWhenListening() net.Conn {
 	r.T.Helper()
-	for end := time.Now().Add(epolltest.Patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(epolltest.Timeout); ; time.Sleep(time.Millisecond) {
 		conn, err := net.Dial("tcp", r.listen)
 		if err == nil {
 			r.T.Cleanup(func() { conn.Close() })
-			conn.SetDeadline(time.Now().Add(epolltest.Patience))
+			conn.SetDeadline(time.Now().Add(epolltest.Timeout))
 			return conn
 		}
 		if time.Now().After(end) {
@@ -95,7 +95,7 @@
 // until waits for a condition to hold.
 func (r *runningBalancer) until(what string, holds func() bool) {
 	r.T.Helper()
-	for end := time.Now().Add(epolltest.Patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(epolltest.Timeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			r.T.Fatalf("not in time: %s", what)
 		}
@@ -105,7 +105,7 @@
 // close ends a balancer whose shutdown has begun.
 func (r *runningBalancer) close() {
 	for _, ms := range []float64{500, 150, 3000} { // the phases of the shutdown, each begun by a timer that the one before has set
-		r.Pass(ms)
+		r.AdvanceTimers(ms)
 	}
 	r.Do(r.node.Close)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,7 +38,7 @@
 
 	loop        *loop.Loop
 	bodyBuffers *bodystream.BufferPool
-	descriptors *loop.DescriptorTable
+	descriptors *loop.DescriptorLimiter
 	registry    *discovery.Registry
 	endpoints   *discovery.Watcher
 	driver      *driver.Driver
@@ -69,7 +69,7 @@
 	n.Trace = trace.New(log, l.Now, &n.Counters)
 	n.Trace.UpstreamName = n.registry.Name
 	r := c.splitResources(fullShare)
-	n.descriptors = loop.NewDescriptorTable(r.connections)
+	n.descriptors = loop.NewDescriptorLimiter(r.connections)
 	n.bodyBuffers = bodystream.NewBufferPool(r.bodyBuffers)
 	n.endpoints = discovery.NewWatcher(discovery.Options{
 		Loop:     l,
@@ -86,12 +86,12 @@
 	return n
 }
 
-// createSides creates the two sides and the driver between them. The clients' side comes first: the descriptor table sheds the idle
+// createSides creates the two sides and the driver between them. The clients' side comes first: the descriptor limiter sheds the idle
 // connections of its users in the sequence of their creation, and those to upstreams are to stay longest.
 func (n *Node) createSides(r resources) {
 	n.server = downstream.NewServer(downstream.Options{
 		Loop:          n.loop,
-		Table:         n.descriptors,
+		Descriptors:   n.descriptors,
 		OverflowLimit: r.overflowConnections,
 		Counters:      &n.Counters,
 		Buffers:       n.bodyBuffers,
@@ -102,7 +102,7 @@
 	n.server.ApplySettings(downstreamSettings(&n.settings))
 	n.pool = upstream.New(upstream.Options{
 		Loop:           n.loop,
-		Table:          n.descriptors,
+		Descriptors:    n.descriptors,
 		Buffers:        n.bodyBuffers,
 		Counters:       &n.Counters,
 		ConnectTimeout: n.settings.ConnectTimeout,
@@ -128,7 +128,7 @@
 	n.reloads = n.Counters.New("config_reloads")
 	n.failedReloads = n.Counters.New("config_reloads_failed")
 	n.Counters.Gauge("body_buffers_in_use", func() uint64 { return uint64(n.bodyBuffers.InUse()) })
-	n.Counters.Gauge("connections_open", func() uint64 { return uint64(n.descriptors.Open()) })
+	n.Counters.Gauge("connections_open", func() uint64 { return uint64(n.descriptors.InUse()) })
 	n.Counters.Gauge("invariant_violations", invariant.Violations)
 }
 
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -73,6 +73,6 @@
 		"abandoned":           after.Abandoned - before.Abandoned,
 		"rejected_too_late":   rejectedTooLate,
 		"in_flight":           after.InProgress(),
-		"connections":         n.descriptors.Open(),
+		"connections":         n.descriptors.InUse(),
 	}).Info("shutdown completed")
 }
--- a/internal/simulation/fake/conn.go
+++ b/internal/simulation/fake/conn.go
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	c := &conn{host: host, fd: fd}
-	if err := host.Loop().Add(fd, loop.In|loop.Out|loop.Hup, c); err != nil {
+	if err := host.Loop().Add(fd, loop.Readable|loop.Writable|loop.HangUp, c); err != nil {
 		host.Loop().Close(fd)
 		return nil, err
 	}
@@ -92,10 +92,10 @@
 	}
 	events := uint32(0)
 	if c.readPauseTimer == nil {
-		events = loop.In | loop.Hup
+		events = loop.Readable | loop.HangUp
 	}
 	if len(c.unsent) > 0 || !c.connected {
-		events |= loop.Out
+		events |= loop.Writable
 	}
 	c.host.Loop().Watch(c.fd, events)
 }
@@ -105,13 +105,13 @@
 	if !c.connected && !c.finishConnect(events) {
 		return
 	}
-	if events&loop.Error != 0 && c.readPauseTimer != nil { // a broken connection needs no pause
+	if events&loop.Failed != 0 && c.readPauseTimer != nil { // a broken connection needs no pause
 		c.stopReadPause()
 	}
-	if events&loop.Out != 0 {
+	if events&loop.Writable != 0 {
 		c.flush()
 	}
-	if !c.closed && c.readPauseTimer == nil && events&^loop.Out != 0 {
+	if !c.closed && c.readPauseTimer == nil && events&^loop.Writable != 0 {
 		c.read()
 	}
 }
@@ -119,14 +119,14 @@
 // finishConnect handles events of a connection that was not connected, and reports whether it is now.
 func (c *conn) finishConnect(events uint32) bool {
 	err := c.host.Loop().SocketError(c.fd)
-	if err == nil && events&loop.Error != 0 {
+	if err == nil && events&loop.Failed != 0 {
 		err = unix.ECONNREFUSED
 	}
 	if err != nil {
 		c.fail(err)
 		return false
 	}
-	if events&loop.Out == 0 {
+	if events&loop.Writable == 0 {
 		return false
 	}
 	c.connected = true
--- a/internal/simulation/fake/listener.go
+++ b/internal/simulation/fake/listener.go
@@ -22,7 +22,7 @@
 		return nil, err
 	}
 	l := &listener{host: host, fd: fd, onAccept: onAccept}
-	return l, host.Loop().Add(fd, loop.In, l)
+	return l, host.Loop().Add(fd, loop.Readable, l)
 }
 
 // Ready accepts all pending connections.
@@ -33,7 +33,7 @@
 			return
 		}
 		c := &conn{host: l.host, fd: fd, connected: true}
-		if l.host.Loop().Add(fd, loop.In|loop.Hup, c) != nil {
+		if l.host.Loop().Add(fd, loop.Readable|loop.HangUp, c) != nil {
 			l.host.Loop().Close(fd)
 			continue
 		}
--- a/internal/simulation/mutation/defects_connections_test.go
+++ b/internal/simulation/mutation/defects_connections_test.go
@@ -207,10 +207,10 @@
 		edits: []edit{
 			{
 				file: "internal/downstream/pending.go",
-				old: `	if events&(loop.Hup|loop.Error) != 0 {
+				old: `	if events&(loop.HangUp|loop.Failed) != 0 {
 		p.conn.clientDisconnected()
 	}`,
-				new: `	_ = events & loop.Hup`,
+				new: `	_ = events & loop.HangUp`,
 			},
 		},
 	},
--- a/internal/simulation/simnet/kernel_model_test.go
+++ b/internal/simulation/simnet/kernel_model_test.go
@@ -53,7 +53,7 @@
 func (k *kernelCalls) add(fd int) {
 	k.t.Helper()
 	k.generation++
-	if err := k.kernel.Add(fd, loop.In|loop.Out|loop.Hup, k.generation); err != nil {
+	if err := k.kernel.Add(fd, loop.Readable|loop.Writable|loop.HangUp, k.generation); err != nil {
 		k.t.Fatal(err)
 	}
 }
@@ -73,13 +73,13 @@
 		k.t.Fatal(err)
 	}
 	k.add(connected)
-	k.await(listener, loop.In)
+	k.await(listener, loop.Readable)
 	accepted, err = k.kernel.Accept(listener)
 	if err != nil {
 		k.t.Fatal(err)
 	}
 	k.add(accepted)
-	k.await(connected, loop.Out)
+	k.await(connected, loop.Writable)
 	k.logf("connected: %v", k.kernel.SocketError(connected))
 	return connected, accepted, listener
 }
@@ -111,20 +111,20 @@
 	k.read(accepted)
 	k.logf("idle %v", k.kernel.IdleOpen(accepted))
 	k.write(connected, "hello, world")
-	k.await(accepted, loop.In)
+	k.await(accepted, loop.Readable)
 	k.logf("idle %v", k.kernel.IdleOpen(accepted))
 	k.read(accepted)
 	k.read(accepted)
 	k.read(accepted)
 	k.kernel.CloseWrite(connected)
-	k.await(accepted, loop.In|loop.Hup)
+	k.await(accepted, loop.Readable|loop.HangUp)
 	k.logf("idle %v", k.kernel.IdleOpen(accepted))
 	k.read(accepted)
 	k.write(accepted, "back")
-	k.await(connected, loop.In)
+	k.await(connected, loop.Readable)
 	k.read(connected)
 	k.kernel.Close(accepted)
-	k.await(connected, loop.In|loop.Hup|unix.EPOLLHUP)
+	k.await(connected, loop.Readable|loop.HangUp|unix.EPOLLHUP)
 	k.read(connected)
 }
 
@@ -132,17 +132,17 @@
 	fd, err := k.kernel.Connect(k.addr)
 	k.logf("connect %v", err)
 	k.add(fd)
-	k.await(fd, loop.Out|unix.EPOLLERR|unix.EPOLLHUP)
+	k.await(fd, loop.Writable|unix.EPOLLERR|unix.EPOLLHUP)
 	k.logf("%v, then %v", k.kernel.SocketError(fd), k.kernel.SocketError(fd))
 }
 
 func closeWithUnreadInput(k *kernelCalls) {
 	connected, accepted, _ := k.connectPair()
 	k.write(connected, "unread")
-	k.await(accepted, loop.In)
+	k.await(accepted, loop.Readable)
 	k.write(accepted, "late")
 	k.kernel.Close(accepted)
-	k.await(connected, unix.EPOLLERR|unix.EPOLLHUP|loop.Hup)
+	k.await(connected, unix.EPOLLERR|unix.EPOLLHUP|loop.HangUp)
 	k.logf("idle %v", k.kernel.IdleOpen(connected))
 	k.logf("error %v", k.kernel.SocketError(connected))
 	k.write(connected, "x")
@@ -151,7 +151,7 @@
 func writeToClosedPeer(k *kernelCalls) {
 	connected, accepted, _ := k.connectPair()
 	k.kernel.Close(accepted)
-	k.await(connected, loop.In|loop.Hup)
+	k.await(connected, loop.Readable|loop.HangUp)
 	k.write(connected, "one")
 	k.await(connected, unix.EPOLLERR|unix.EPOLLHUP)
 	k.write(connected, "two")
@@ -165,7 +165,7 @@
 	again, err := k.kernel.Connect(k.addr)
 	k.logf("same descriptor %v, %v", again == connected, err)
 	k.add(again)
-	k.await(listener, loop.In)
+	k.await(listener, loop.Readable)
 	other, err := k.kernel.Accept(listener)
 	k.logf("accepted another one %v %v", other != accepted, err)
 	_, err = k.kernel.Accept(listener)
@@ -191,7 +191,7 @@
 	received := 0
 	var buffer [65536]byte
 	for received < sent {
-		k.await(accepted, loop.In)
+		k.await(accepted, loop.Readable)
 		n, err := k.kernel.Read(accepted, buffer[:])
 		if err != nil && err != unix.EAGAIN {
 			k.t.Fatal(err)
@@ -199,9 +199,9 @@
 		received += max(0, n)
 	}
 	k.logf("all received %v", received == sent)
-	k.await(connected, loop.Out)
+	k.await(connected, loop.Writable)
 	k.write(connected, "more")
-	k.await(accepted, loop.In)
+	k.await(accepted, loop.Readable)
 	k.read(accepted)
 }
 
@@ -236,7 +236,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := epoll.Local(listener)
+	addr := epoll.LocalAddress(listener)
 	unix.Close(listener)
 	calls := &kernelCalls{t: t, kernel: kernel, addr: addr}
 	sequence(calls)
--- a/internal/simulation/simnet/network_test.go
+++ b/internal/simulation/simnet/network_test.go
@@ -25,7 +25,7 @@
 // serve accepts connections at testAddr and watches them for events with what onAccept returns.
 func serve(p *Process, events uint32, onAccept func(fd int) handler) {
 	listener, _ := p.Listen(testAddr)
-	p.Loop().Add(listener, loop.In, handler(func(uint32) {
+	p.Loop().Add(listener, loop.Readable, handler(func(uint32) {
 		if fd, err := p.Accept(listener); err == nil {
 			p.Loop().Add(fd, events, onAccept(fd))
 		}
@@ -39,7 +39,7 @@
 		net.SetFragmentation(rapid.Float64Range(0, 1).Draw(t, "fragmentation"))
 		want := strings.Repeat("0123456789", rapid.IntRange(1, 20000).Draw(t, "tens"))
 		got := strings.Builder{}
-		serve(b, loop.In, func(fd int) handler {
+		serve(b, loop.Readable, func(fd int) handler {
 			return func(uint32) {
 				var buffer [4096]byte
 				n, _ := b.Read(fd, buffer[:])
@@ -49,7 +49,7 @@
 		a.Loop().Post(func() {
 			fd, _ := a.Connect(testAddr)
 			rest := []byte(want)
-			a.Loop().Add(fd, loop.Out, handler(func(uint32) {
+			a.Loop().Add(fd, loop.Writable, handler(func(uint32) {
 				n, err := a.Write(fd, rest)
 				if err != nil {
 					t.Fatal(err)
@@ -84,15 +84,15 @@
 func (e *connectionEvents) connect(p *Process) {
 	fd, _ := p.Connect(testAddr)
 	connected := false
-	p.Loop().Add(fd, loop.In|loop.Out, handler(func(events uint32) {
-		if !connected && events&loop.Out != 0 && events&loop.Error == 0 {
+	p.Loop().Add(fd, loop.Readable|loop.Writable, handler(func(events uint32) {
+		if !connected && events&loop.Writable != 0 && events&loop.Failed == 0 {
 			connected = true
 			e.connected++
-			p.Loop().Watch(fd, loop.In|loop.Hup)
+			p.Loop().Watch(fd, loop.Readable|loop.HangUp)
 			p.Write(fd, nil)
 			return
 		}
-		if events&loop.Error != 0 {
+		if events&loop.Failed != 0 {
 			e.reset++
 		}
 		p.Loop().Close(fd)
@@ -103,7 +103,7 @@
 func TestPartition(t *testing.T) {
 	net, a, b := newTestNetwork(1)
 	events := &connectionEvents{}
-	serve(b, loop.In|loop.Hup, func(fd int) handler {
+	serve(b, loop.Readable|loop.HangUp, func(fd int) handler {
 		events.accepted++
 		return func(uint32) {
 			events.closed++
--- a/internal/simulation/simnet/process_test.go
+++ b/internal/simulation/simnet/process_test.go
@@ -17,8 +17,8 @@
 	ticks := 0
 	a.Loop().Post(func() {
 		fd, _ := a.Connect(testAddr)
-		a.Loop().Add(fd, loop.Hup, handler(func(events uint32) {
-			if events&loop.Error != 0 {
+		a.Loop().Add(fd, loop.HangUp, handler(func(events uint32) {
+			if events&loop.Failed != 0 {
 				resets++
 			}
 			a.Loop().Close(fd)
@@ -63,7 +63,7 @@
 func TestIterationLimit(t *testing.T) {
 	net, a, b := newTestNetwork(1)
 	listener, _ := b.Listen(testAddr)
-	b.Loop().Add(listener, loop.In, handler(func(uint32) {})) // never accepts
+	b.Loop().Add(listener, loop.Readable, handler(func(uint32) {})) // never accepts
 	a.Loop().Post(func() { a.Connect(testAddr) })
 	defer func() {
 		if cause := recover(); cause == nil || !strings.Contains(fmt.Sprint(cause), "iterations within a second") {
--- a/internal/simulation/simnet/socket.go
+++ b/internal/simulation/simnet/socket.go
@@ -88,30 +88,30 @@
 	switch {
 	case s.listening:
 		if len(s.backlog) > 0 {
-			events = loop.In
+			events = loop.Readable
 		}
 	case s.isReset:
-		events = loop.In | loop.Out | loop.Hup | loop.Error
+		events = loop.Readable | loop.Writable | loop.HangUp | loop.Failed
 	case s.connecting:
 	default:
 		events = s.connectionEvents()
 	}
-	return events & (s.events | loop.Error)
+	return events & (s.events | loop.Failed)
 }
 
 func (s *socket) connectionEvents() uint32 {
 	var events uint32
 	if len(s.received) > 0 || s.receivedEnd {
-		events |= loop.In
+		events |= loop.Readable
 	}
 	if s.receivedEnd {
-		events |= loop.Hup
+		events |= loop.HangUp
 		if s.sentEnd {
 			events |= unix.EPOLLHUP
 		}
 	}
 	if s.sentEnd || s.inFlight <= writableBytes {
-		events |= loop.Out
+		events |= loop.Writable
 	}
 	return events
 }
--- a/internal/upstream/cancel_test.go
+++ b/internal/upstream/cancel_test.go
@@ -22,7 +22,7 @@
 	if _, err := c.in.ReadByte(); err != io.EOF {
 		t.Errorf("the upstream reads %v", err)
 	}
-	if r.Counted("upstream_connections_open") != 0 || len(r.ended) != 0 {
+	if r.CounterValue("upstream_connections_open") != 0 || len(r.ended) != 0 {
 		t.Error("a cancelled attempt is kept, or ends again")
 	}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -80,15 +80,15 @@
 
 // transfer sends and receives what is possible.
 func (c *conn) transfer(events uint32) {
-	if events&loop.Out != 0 && !c.request.sent() {
+	if events&loop.Writable != 0 && !c.request.sent() {
 		c.send()
 	}
-	if events&loop.Error != 0 && c.stream != nil && c.stream.Available() == 0 {
+	if events&loop.Failed != 0 && c.stream != nil && c.stream.Available() == 0 {
 		// What was received before the error is read when the client has taken more of the stream.
 		c.pool.loop.Pause(c.fd)
 		return
 	}
-	if c.state == stateActive && events&^loop.Out != 0 {
+	if c.state == stateActive && events&^loop.Writable != 0 {
 		c.receive()
 	}
 }
@@ -145,7 +145,7 @@
 	c.stopTimer()
 	p.loop.Close(c.fd)
 	p.quota.Release()
-	invariant.Check(p.quota.Open() >= len(p.active)+p.idle.Len(), "each connection has a descriptor of the quota")
+	invariant.Check(p.quota.InUse() >= len(p.active)+p.idle.Len(), "each connection has a descriptor of the quota")
 }
 
 func (c *conn) stopTimer() {
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -53,7 +53,7 @@
 		state:    stateConnecting,
 		decoder:  http1.NewResponseDecoder(nil),
 	}
-	if err := p.loop.Add(fd, loop.In|loop.Out|loop.Hup, c); err != nil {
+	if err := p.loop.Add(fd, loop.Readable|loop.Writable|loop.HangUp, c); err != nil {
 		p.loop.Close(fd)
 		return nil, err
 	}
@@ -68,12 +68,12 @@
 // finishConnect handles readiness while connecting. The connection becomes active, stays connecting or is closed.
 func (c *conn) finishConnect(events uint32) {
 	p := c.pool
-	if err := p.loop.SocketError(c.fd); err != nil || events&loop.Error != 0 {
+	if err := p.loop.SocketError(c.fd); err != nil || events&loop.Failed != 0 {
 		p.counters.connectFailed.Inc()
 		c.end(balance.ConnectFailed)
 		return
 	}
-	if events&loop.Out == 0 {
+	if events&loop.Writable == 0 {
 		return
 	}
 	if !c.leadsToCurrentProcess() || !p.listener.Sendable(c.attempt) {
--- a/internal/upstream/connect_test.go
+++ b/internal/upstream/connect_test.go
@@ -35,7 +35,7 @@
 	if err := unix.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	address := epoll.Local(fd)
+	address := epoll.LocalAddress(fd)
 	for range 4 {
 		c, err := epoll.Connect(address)
 		if err != nil {
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -37,7 +37,7 @@
 		r := newRig(t, 8, faultinject.Rule{Call: faultinject.Connect, Errno: errno})
 		newUpstream(t, r)
 		a := r.start("x")
-		r.Pass(1000)
+		r.AdvanceTimers(1000)
 		r.checkOutcome(a, errno.Error(), want)
 		cancelled := r.start("x")
 		r.Do(func() { r.pool.Cancel(cancelled) })
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -59,7 +59,7 @@
 	}
 	r.pool = New(Options{
 		Loop:           r.Loop,
-		Table:          loop.NewDescriptorTable(descriptors),
+		Descriptors:    loop.NewDescriptorLimiter(descriptors),
 		Buffers:        bodystream.NewBufferPool(8),
 		Counters:       &r.Count,
 		ConnectTimeout: 250,
@@ -69,7 +69,7 @@
 	r.pool.SetListener(r)
 	t.Cleanup(func() {
 		r.Do(r.pool.Close)
-		if n := len(r.pool.active) + r.pool.idle.Len() + r.pool.quota.Open(); n != 0 {
+		if n := len(r.pool.active) + r.pool.idle.Len() + r.pool.quota.InUse(); n != 0 {
 			t.Errorf("%d connections are open after Close", n)
 		}
 	})
@@ -112,7 +112,7 @@
 		}
 		a.Exchange.EndAttempt(a, ended.result.Outcome.NeverRan())
 		return ended.result
-	case <-time.After(epolltest.Patience):
+	case <-time.After(epolltest.Timeout):
 		r.T.Fatal("the attempt does not end")
 	}
 	return exchange.Result{}
@@ -194,7 +194,7 @@
 // checkCounter compares a counter.
 func (r *rig) checkCounter(what, name string, want uint64) {
 	r.T.Helper()
-	if got := r.Counted(name); got != want {
+	if got := r.CounterValue(name); got != want {
 		r.T.Errorf("%s: %s is %d, want %d", what, name, got, want)
 	}
 }
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -31,7 +31,7 @@
 		{"closed by the upstream", func(c *upstreamConn) { c.Close() }},
 		{"half-closed by the upstream", func(c *upstreamConn) { c.CloseWrite() }},
 		{"a response that no request asked for", func(c *upstreamConn) { c.respond("HTTP/1.1 408 Late\r\n\r\n") }},
-		{"idle timeout", func(*upstreamConn) { r.Pass(14000) }},
+		{"idle timeout", func(*upstreamConn) { r.AdvanceTimers(14000) }},
 		{"restarted", func(*upstreamConn) { r.Do(func() { r.pool.SetAddress(1, address, 5) }) }},
 		{"removed", func(*upstreamConn) { r.Do(func() { r.pool.Remove(1); r.pool.SetAddress(1, address, 0) }) }},
 		{"descriptor needed", func(*upstreamConn) { r.Do(func() { r.pool.shedIdle() }) }},
@@ -39,10 +39,10 @@
 		t.Log(tt.name)
 		c := r.serve(u, emptyResponse)
 		tt.event(c)
-		r.WaitFor("upstream_connections_open", 0)
+		r.WaitForCounter("upstream_connections_open", 0)
 	}
 	r.serve(u, emptyResponse)
-	r.Pass(13000)
+	r.AdvanceTimers(13000)
 	r.checkCounter("before the idle timeout", "upstream_connections_open", 1)
 }
 
@@ -99,7 +99,7 @@
 	second := u.accept()
 	second.request()
 	first.respond(oldResponse)
-	r.WaitFor("upstream_connections_closed_by_peer", 1)
+	r.WaitForCounter("upstream_connections_closed_by_peer", 1)
 	second.respond(newResponse)
 	if got := r.checkOutcome(a, "second request", balance.OK); string(got.Body) != "new" {
 		t.Errorf("body %q", got.Body)
@@ -125,12 +125,12 @@
 	u := newUpstream(t, r)
 	for _, tt := range []struct{ idleFor, wantDelay float64 }{{1, 10}, {60, 120}, {1000, maxReuseDelay}} {
 		c := r.serve(u, oldResponse)
-		before := r.Counted("upstream_extra_responses")
+		before := r.CounterValue("upstream_extra_responses")
 		r.Do(func() {
 			r.setIdleFor(tt.idleFor)
 			c.respond(oldResponse)
 		})
-		r.WaitFor("upstream_extra_responses", before+1)
+		r.WaitForCounter("upstream_extra_responses", before+1)
 		r.Do(func() {
 			if delay := r.pool.reuseDelay; delay < tt.wantDelay || delay > maxReuseDelay {
 				t.Errorf("reuse delay %v ms after extra bytes at %v ms, want %v", delay, tt.idleFor, tt.wantDelay)
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -96,7 +96,7 @@
 		if string(result.Body) != tt.body || !first.RequestComplete {
 			t.Errorf("%s: body %q, request complete %v", tt.name, result.Body, first.RequestComplete)
 		}
-		if open := r.Counted("upstream_connections_open") == 1; open != tt.reused {
+		if open := r.CounterValue("upstream_connections_open") == 1; open != tt.reused {
 			t.Errorf("%s: the connection is kept: %v", tt.name, open)
 		}
 		if !tt.reused {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -37,7 +37,7 @@
 // Options are what a pool works with.
 type Options struct {
 	Loop           *loop.Loop
-	Table          *loop.DescriptorTable
+	Descriptors    *loop.DescriptorLimiter
 	Buffers        *bodystream.BufferPool
 	Counters       *counter.Set
 	ConnectTimeout balance.Millis
@@ -50,7 +50,7 @@
 type Pool struct {
 	loop     *loop.Loop
 	buffers  *bodystream.BufferPool
-	quota    *loop.Quota // one descriptor for each connection and each pending connect
+	quota    *loop.DescriptorQuota // one descriptor for each connection and each pending connect
 	listener AttemptListener
 	trace    *trace.Tracer
 	counters counters
@@ -98,7 +98,7 @@
 	p.ApplySettings(o.ConnectTimeout, o.KeepAlive, o.LoadReports)
 	p.counters = newCounters(o.Counters)
 	o.Counters.Gauge("upstream_connections_open", func() uint64 { return uint64(len(p.active) + p.idle.Len()) })
-	p.quota = o.Table.NewQuota(p.shedIdle)
+	p.quota = o.Descriptors.NewQuota(p.shedIdle)
 	return p
 }
 
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -54,7 +54,7 @@
 			return
 		}
 		if n < len(p) {
-			c.pool.loop.Watch(c.fd, loop.In|loop.Out|loop.Hup)
+			c.pool.loop.Watch(c.fd, loop.Readable|loop.Writable|loop.HangUp)
 			return
 		}
 	}
@@ -65,7 +65,7 @@
 	if c.request.body == nil {
 		c.attempt.RequestComplete = true
 	}
-	c.pool.loop.Watch(c.fd, loop.In|loop.Hup)
+	c.pool.loop.Watch(c.fd, loop.Readable|loop.HangUp)
 }
 
 // handleSendError ends the attempt. A response that the upstream sent before it closed the connection counts more than
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -35,7 +35,7 @@
 func (c *conn) continueStream(stream *bodystream.Stream) {
 	if stream.State() != bodystream.Abandoned {
 		c.lastProgress = c.pool.loop.Now()
-		c.pool.loop.Watch(c.fd, loop.In|loop.Hup)
+		c.pool.loop.Watch(c.fd, loop.Readable|loop.HangUp)
 		return
 	}
 	if c.stream == stream {
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -35,7 +35,7 @@
 func (r *rig) readStream(stream *bodystream.Stream, size int) int {
 	r.T.Helper()
 	received := 0
-	for deadline := time.Now().Add(epolltest.Patience); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(epolltest.Timeout); ; time.Sleep(time.Millisecond) {
 		ended := false
 		r.Do(func() {
 			n := len(stream.Peek())
@@ -106,7 +106,7 @@
 			c.lastProgress = r.Loop.Now() - stallTimeout
 		})
 	}
-	r.Pass(stallTimeout + 1)
+	r.AdvanceTimers(stallTimeout + 1)
 }
 
 // A long request that the upstream does not read, and a long response that stops, end: no timeout of the attempt
