--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -149,9 +149,9 @@
 	b.admitQueued()
 }
 
-// OnRequestComplete handles the last byte of a request that arrived with its body incomplete. The time of
+// OnBodyComplete handles the last byte of a request that arrived with its body incomplete. The time of
 // the request and of its attempts begins now: the upstream begins with that byte.
-func (b *Balancer) OnRequestComplete(now Millis, id RequestID, expiresIn Millis) {
+func (b *Balancer) OnBodyComplete(now Millis, id RequestID, expiresIn Millis) {
 	b.advance(now)
 	if r := b.requests.byID[id]; r != nil && r.bodyIncomplete && !r.concluded {
 		b.completeRequest(r, expiresIn)
--- a/balance/events.go
+++ b/balance/events.go
@@ -26,7 +26,7 @@
 	Class          uint8
 	Tenant         uint16
 	ExpiresIn      Millis // time until the client gives up
-	BodyIncomplete bool   // its last byte has not arrived yet; its time begins with OnRequestComplete
+	BodyIncomplete bool   // its last byte has not arrived yet; its time begins with OnBodyComplete
 }
 
 // AttemptEnded reports how an attempt ended.
--- a/internal/driver/events.go
+++ b/internal/driver/events.go
@@ -48,7 +48,7 @@
 		}
 	}
 	now := d.now()
-	d.balancer.OnRequestComplete(now, x.ID, max(0, x.RespondBy-now))
+	d.balancer.OnBodyComplete(now, x.ID, max(0, x.RespondBy-now))
 	d.executeActions()
 }
 
