--- a/balance/actions.go
+++ b/balance/actions.go
@@ -1,49 +1,50 @@
 package balance
 
-// Action is something that an instance wants its host to do: a pointer to one of the types below. It may be
-// read until the next call of NextAction.
+// Action is an instruction of an instance to its host: a pointer to one of the types below. It is valid until
+// the next call of NextAction.
 type Action interface{ isAction() }
 
-// ForwardRequest sends a request to an upstream, as its next attempt.
+// ForwardRequest sends a request to an upstream as the next attempt of the request.
 type ForwardRequest struct {
 	Request  RequestID
 	Upstream UpstreamID
-	Timeout  Millis // of the attempt, 0 for as long as the client waits
+	Timeout  Millis // timeout of the attempt; 0 if it may take until the client gives up
 }
 
-// RejectRequest gives a request its final response: it was not served, and sending it again is harmless.
+// RejectRequest gives a request its final response: it was not served, and the client may safely send it
+// again.
 type RejectRequest struct {
 	Request    RequestID
-	RetryAfter Millis // when the client should send it again, 0 for no advice
+	RetryAfter Millis // delay after which the client should send the request again; 0 for no advice
 	Reason     GiveUpReason
 }
 
-// FailRequest gives a request its final response: it was not served, and may have run.
+// FailRequest gives a request its final response: it was not served, but an upstream may have executed it.
 type FailRequest struct {
 	Request RequestID
 	Reason  GiveUpReason
 }
 
-// CancelAttempt cancels an attempt that is in flight.
+// CancelAttempt cancels an attempt in flight.
 type CancelAttempt struct {
 	Request RequestID
 	Attempt int
 }
 
-// SetTimer asks for OnTimer after a time. Timers can't be stopped.
+// SetTimer asks the host to call OnTimer after a delay. A timer cannot be stopped.
 type SetTimer struct {
 	Timer TimerID
 	After Millis
 }
 
-// WatchEndpoints asks for endpoint updates.
+// WatchEndpoints asks the host to watch the endpoint list and to report its updates by OnEndpointUpdate.
 type WatchEndpoints struct{}
 
-// SetAttemptTimeout replaces the time-out of an attempt in flight.
+// SetAttemptTimeout replaces the timeout of an attempt in flight.
 type SetAttemptTimeout struct {
 	Request RequestID
 	Attempt int
-	Timeout Millis // from now on, 0 for as long as the client waits
+	Timeout Millis // counted from now; 0 if the attempt may take until the client gives up
 }
 
 func (*ForwardRequest) isAction()    {}
@@ -54,10 +55,10 @@
 func (*WatchEndpoints) isAction()    {}
 func (*SetAttemptTimeout) isAction() {}
 
-// GiveUpReason says why a request was not served.
+// GiveUpReason is the reason why a request was not served.
 type GiveUpReason string
 
-// The reasons.
+// Reasons why a request was not served.
 const (
 	ReasonThrottled        GiveUpReason = "throttled"
 	ReasonQueueTimeout     GiveUpReason = "queue timeout"
@@ -67,14 +68,15 @@
 	ReasonRetriesExhausted GiveUpReason = "no retry allowed or of use"
 )
 
-// TimerID names a timer of an instance. It has no meaning for the host.
+// TimerID identifies a timer of an instance. Its value means nothing to the host.
 type TimerID uint64
 
-// outbox holds actions, in order, until the host has carried them out. There is a slice for each type of
-// action, so that a single action costs no allocation; all of them are reused once the outbox is empty.
+// outbox is the queue of the actions that the host has not yet carried out. Each type of action has a slice
+// of its own, so that adding an action to the queue does not allocate. The slices are reused when the queue
+// is empty.
 type outbox struct {
 	queue    []Action
-	next     int // in the queue
+	next     int // index in queue of the next action
 	forwards []ForwardRequest
 	rejects  []RejectRequest
 	fails    []FailRequest
@@ -83,8 +85,8 @@
 	timeouts []SetAttemptTimeout
 }
 
-// add appends an action to those of its type and returns where it is. A pointer stays good when the slice
-// grows: actions are not changed after they were added.
+// add appends an action to the slice of its type and returns a pointer to it. The pointer stays usable when a
+// later append moves the slice, because actions are not modified after they are added.
 func add[T any](actions *[]T, a T) *T {
 	*actions = append(*actions, a)
 	return &(*actions)[len(*actions)-1]
@@ -98,7 +100,7 @@
 func (o *outbox) setTimeout(a SetAttemptTimeout) { o.queue = append(o.queue, add(&o.timeouts, a)) }
 func (o *outbox) watchEndpoints()                { o.queue = append(o.queue, &WatchEndpoints{}) }
 
-// pop returns the next action, or false and an outbox that is empty.
+// pop returns the next action. If there is none, it clears the outbox and returns false.
 func (o *outbox) pop() (Action, bool) {
 	if o.next == len(o.queue) {
 		if o.next > 0 {
@@ -111,7 +113,7 @@
 	return a, true
 }
 
-// clear empties the outbox. The memory of its slices is used again.
+// clear empties the outbox and keeps the memory of its slices for reuse.
 func (o *outbox) clear() {
 	o.queue = o.queue[:0]
 	o.next = 0
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -1,34 +1,38 @@
-// Package balance decides, for one instance of the load balancer, what happens to every request.
+// Package balance makes the decisions of one instance of the load balancer: which requests are rejected,
+// which upstream gets each attempt, and which failed attempts are retried.
 //
-// A host reports events to a Balancer, by its On… methods, and carries out the actions that NextAction
-// returns. The package does no I/O, reads no clock and knows no protocol.
+// A host reports events to a Balancer by calling its On... methods, and carries out the actions that
+// NextAction returns. The package does no I/O, reads no clock and depends on no protocol.
 //
-// The ordinary path of a request: the throttle may reject it, the lowest priority weight first; an upstream
-// is selected (zone, then the less loaded of two random choices); the request is forwarded; the attempt
-// ends; perhaps it is retried within the retry budget. Everything else is an exception; docs/design.md says
-// when each acts.
+// A request normally takes these steps. The throttle may reject it, requests of the lowest priority weight
+// first. An upstream is selected: first the zone class, then the less loaded of two random upstreams. The
+// request is forwarded and the attempt ends. A failed attempt may be retried within the retry budget. All
+// other code handles exceptions; docs/design.md says when each of them applies.
 package balance
 
 import "math/rand/v2"
 
 const (
-	tickInterval    Millis = 100 // between housekeeping rounds
-	minWatchBackoff Millis = 1000
-	maxWatchBackoff Millis = 16000
-	minWatchJitter         = 0.5 // of the backoff; the most is one more
+	tickInterval    Millis = 100   // time between two runs of the housekeeping
+	minWatchBackoff Millis = 1000  // delay before a failed watch is repeated; it doubles with each failure
+	maxWatchBackoff Millis = 16000 // upper bound of that delay, without jitter
+	minWatchJitter         = 0.5   // random factor of that delay: at least this, below 1.5
 )
 
-// The timers of an instance. Smaller numbers are the ids of queued requests.
+// Timers of an instance. A smaller TimerID is the id of a queued request and stands for its queue timeout.
 const (
 	timerTick  TimerID = 1 << 32
 	timerWatch TimerID = 2 << 32
 )
 
-// randomStream separates the instance's random numbers from those that the host draws by the same seed.
+// randomStream selects a random number stream other than the host's, so that an instance and its host may use
+// the same seed.
 const randomStream = 0x5a17
 
-// Balancer is one instance. Each of its parts is the state of one job, in the file of that job; the
-// decisions that need several parts are methods of the Balancer in the same file.
+// Balancer is one instance of the load balancer. Each of its components, such as retryBudget, is the state of
+// one mechanism and is defined in the file of that mechanism. Decisions that need several components are
+// methods of Balancer in the file of the mechanism that they belong to. A Balancer is not safe for concurrent
+// use.
 type Balancer struct {
 	settings *Config
 	now      Millis
@@ -50,12 +54,13 @@
 	slowStart    slowStartRate
 	outliers     outlierDetection
 
-	candidates   []candidate // memory that the selection of an upstream reuses
+	candidates   []candidate // buffer that is reused for each selection of an upstream
 	lastTick     Millis
 	watchBackoff Millis
 }
 
-// New returns an instance that has just started.
+// New returns an instance that starts at the time now. The same seed and the same events give the same
+// actions.
 func New(cfg Config, seed uint64, now Millis) *Balancer {
 	b := &Balancer{
 		settings:     &Config{},
@@ -80,10 +85,11 @@
 	return b
 }
 
-// replicas is the number of instances that share the load, itself included.
+// replicas returns the number of instances that share the load, including this one.
 func (b *Balancer) replicas() float64 { return float64(max(1, b.settings.Replicas)) }
 
-// advance moves the instance's clock on to an event.
+// advance sets the clock of the instance to the time of an event, and closes the buckets that have ended by
+// then.
 func (b *Balancer) advance(now Millis) {
 	b.now = now
 	if now >= b.window.bucketEnd {
@@ -91,7 +97,7 @@
 	}
 }
 
-// closeBuckets ends the buckets of the window whose time is over.
+// closeBuckets closes the buckets of the accept window and of the retry budget that have reached their end.
 func (b *Balancer) closeBuckets() {
 	for b.now >= b.window.bucketEnd {
 		if b.window.closeBucket() {
@@ -100,25 +106,26 @@
 	}
 }
 
-// OnRequest handles a new request.
+// OnRequest handles the arrival of a request. It ignores a request whose id is already in use or whose class
+// is unknown or removed.
 func (b *Balancer) OnRequest(now Millis, e *RequestArrived) {
 	b.advance(now)
-	if b.acceptable(e) {
-		b.decide(b.addRequest(e))
+	if b.validRequest(e) {
+		b.admitOrReject(b.addRequest(e))
 	}
 	b.admitQueued()
 }
 
-// acceptable reports whether a request has an id of its own and a class that requests may have.
-func (b *Balancer) acceptable(e *RequestArrived) bool {
+// validRequest reports whether the id of a request is unused and its class exists and is not removed.
+func (b *Balancer) validRequest(e *RequestArrived) bool {
 	if b.requests.byID[e.Request] != nil || int(e.Class) >= len(b.settings.Classes) {
 		return false
 	}
 	return !b.settings.Classes[e.Class].Removed
 }
 
-// decide rejects a new request, forwards it or queues it.
-func (b *Balancer) decide(r *request) {
+// admitOrReject rejects a new request, forwards it or adds it to the admission queue.
+func (b *Balancer) admitOrReject(r *request) {
 	switch {
 	case b.throttled(r):
 		b.reject(r, ReasonThrottled)
@@ -129,7 +136,7 @@
 	}
 }
 
-// OnAttemptEnded handles the end of an attempt.
+// OnAttemptEnded handles the end of an attempt. It ignores an attempt that is unknown or has already ended.
 func (b *Balancer) OnAttemptEnded(now Millis, e *AttemptEnded) {
 	b.advance(now)
 	r := b.requests.byID[e.Request]
@@ -139,7 +146,8 @@
 	b.admitQueued()
 }
 
-// OnResponseStarted handles the start of a streaming response, by which the attempt is judged.
+// OnResponseStarted handles the start of a streamed response. From then on the attempt counts as successful
+// and no longer as load of its upstream.
 func (b *Balancer) OnResponseStarted(now Millis, e *ResponseStarted) {
 	b.advance(now)
 	r := b.requests.byID[e.Request]
@@ -149,18 +157,19 @@
 	b.admitQueued()
 }
 
-// OnBodyComplete handles the last byte of a request that arrived with its body incomplete. The time of
-// the request and of its attempts begins now: the upstream begins with that byte.
+// OnBodyComplete handles the arrival of the last byte of a request that was reported with an incomplete body.
+// The time of the request and of its attempts starts now, because the upstream starts to process the request
+// when it has received that byte. The client gives up after expiresIn.
 func (b *Balancer) OnBodyComplete(now Millis, id RequestID, expiresIn Millis) {
 	b.advance(now)
 	if r := b.requests.byID[id]; r != nil && r.bodyIncomplete && !r.concluded {
-		b.completeRequest(r, expiresIn)
+		b.completeBody(r, expiresIn)
 	}
 	b.admitQueued()
 }
 
-// OnDeadlineShortened handles an earlier deadline of a request in progress. It does not stay
-// queued beyond that.
+// OnDeadlineShortened handles a new, earlier deadline of a request in progress: the client gives up after
+// expiresIn. If the request is queued, its queue timeout is shortened too.
 func (b *Balancer) OnDeadlineShortened(now Millis, id RequestID, expiresIn Millis) {
 	b.advance(now)
 	if r := b.requests.byID[id]; r != nil && !r.concluded {
@@ -169,8 +178,9 @@
 	b.admitQueued()
 }
 
-// OnRequestConcluded handles a request that the host has ended by itself: its client has disconnected, or
-// it got its response at the end of a shutdown. Nothing more is owed.
+// OnRequestConcluded handles a request that the host has ended itself: the client has disconnected, or the
+// host sent the final response at the end of a shutdown. The request needs no response from the instance any
+// more.
 func (b *Balancer) OnRequestConcluded(now Millis, id RequestID) {
 	b.advance(now)
 	if r := b.requests.byID[id]; r != nil && !r.concluded {
@@ -179,7 +189,7 @@
 	b.admitQueued()
 }
 
-// OnTimer handles a timer that has fired.
+// OnTimer handles a timer that has fired. It ignores the timer of a request that is no longer queued.
 func (b *Balancer) OnTimer(now Millis, timer TimerID) {
 	b.advance(now)
 	switch {
@@ -196,16 +206,16 @@
 	b.admitQueued()
 }
 
-// OnEndpointUpdate handles an update of the endpoints. Nothing new goes to one that is draining or
-// removed, at once.
+// OnEndpointUpdate handles an update of the endpoint list. From now on no attempt is sent to an endpoint that
+// the update marks as draining or removed.
 func (b *Balancer) OnEndpointUpdate(now Millis, e EndpointUpdate) {
 	b.advance(now)
 	b.updateEndpoints(e)
 	b.admitQueued()
 }
 
-// OnWatchFailed handles a failure of the host to carry out WatchEndpoints. It is asked again with backoff:
-// discovery may be short of capacity.
+// OnWatchFailed handles the failure of a WatchEndpoints action. The watch is repeated after a random,
+// exponentially growing delay, because discovery may be overloaded.
 func (b *Balancer) OnWatchFailed(now Millis) {
 	b.advance(now)
 	if b.settings.PollEndpoints {
@@ -216,7 +226,8 @@
 	b.admitQueued()
 }
 
-// OnSettings replaces the settings for requests that arrive from now on. Requests in progress keep theirs.
+// OnSettings replaces the settings for requests that arrive from now on. Requests in progress keep the
+// settings under which they arrived.
 func (b *Balancer) OnSettings(now Millis, cfg *Config) {
 	b.advance(now)
 	b.applySettings(cfg)
@@ -224,25 +235,27 @@
 	b.admitQueued()
 }
 
-// OnDisable handles an upstream that operators have disabled, whatever the endpoint list says.
+// OnDisable handles an override that disables an upstream. No attempt is sent to it until OnEnable, whatever
+// state the endpoint list reports.
 func (b *Balancer) OnDisable(now Millis, id UpstreamID) {
 	b.advance(now)
 	b.disable(id)
 	b.admitQueued()
 }
 
-// OnEnable handles an upstream that operators have enabled again. It was restarted meanwhile.
+// OnEnable handles an override that enables a disabled upstream. The upstream is assumed to have been
+// restarted while it was disabled, so it warms up first.
 func (b *Balancer) OnEnable(now Millis, id UpstreamID) {
 	b.advance(now)
 	b.enable(id)
 	b.admitQueued()
 }
 
-// NextAction returns the next action for the host, or false if there is none. Events that are reported
-// while an action is carried out append their actions to those that are pending.
+// NextAction returns the next action for the host, or false if there is none. Events that the host reports
+// while it carries out an action add their actions to the end of the queue.
 func (b *Balancer) NextAction() (Action, bool) { return b.outbox.pop() }
 
-// tick is the housekeeping round.
+// tick does the housekeeping that is due every tickInterval.
 func (b *Balancer) tick() {
 	b.requests.dropFinished()
 	elapsed := b.now - b.lastTick
@@ -259,8 +272,8 @@
 	}
 }
 
-// updateUpstreamSets brings what is derived from the upstreams up to date: what each zone class can take, and
-// the subset of it that this instance works with.
+// updateUpstreamSets recomputes the state that is derived from the upstreams: the capacity of each zone
+// class, and the subset of its upstreams that this instance uses.
 func (b *Balancer) updateUpstreamSets() {
 	b.updateZoneCapacity()
 	b.selectSubsets()
--- a/balance/config.go
+++ b/balance/config.go
@@ -1,78 +1,78 @@
 package balance
 
-// Millis is a point in time or a duration in milliseconds. Points in time are those of the host's clock.
+// Millis is a time or a duration in milliseconds. Times are those of the host's clock.
 type Millis = float64
 
-// RequestID names a request for as long as the host knows it.
+// RequestID identifies a request. The host does not reuse it while the request is in progress.
 type RequestID uint32
 
-// UpstreamID names an upstream; a restarted process keeps its id.
+// UpstreamID identifies an upstream within this process. An upstream that is restarted keeps its id.
 type UpstreamID uint32
 
-// Idempotency says whether a request may run more than once.
+// Idempotency says whether a request may be executed more than once.
 type Idempotency uint8
 
-// The kinds of idempotency.
+// Values of Idempotency.
 const (
-	Idempotent         Idempotency = iota // may run any number of times
-	WithIdempotencyKey                    // a set of upstreams drops repeats of it for a while
-	NonIdempotent                         // must never run twice
+	Idempotent         Idempotency = iota // may be executed any number of times
+	WithIdempotencyKey                    // carries a key by which a set of upstreams drops duplicates for a limited time
+	NonIdempotent                         // must not be executed more than once
 )
 
-// DeduplicationScope is the set of upstreams that drop each other's repeats of a request with an
-// idempotency key.
+// DeduplicationScope is the set of upstreams within which duplicates of a request with an idempotency key are
+// dropped: an upstream drops a request that another upstream of the set has executed.
 type DeduplicationScope uint8
 
-// The scopes.
+// Values of DeduplicationScope.
 const (
-	ScopeAll DeduplicationScope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  DeduplicationScope = iota // all upstreams
+	ScopeZone                           // the upstreams of one zone
+	ScopeCell                           // the upstreams of one cell of a zone
 )
 
-// Class is one class of requests.
+// Class holds the settings of one class of requests.
 type Class struct {
-	LatencyObjective    Millis  // a response within this time earns the whole weight
-	Deadline            Millis  // all the time that a client has, over all of its attempts
-	PriorityWeight      float64 // what a response in time earns; the lowest is shed first
-	LateWeight          float64 // share of the weight that a response after the objective earns
+	LatencyObjective    Millis  // a response within this time after the request's arrival earns the full weight
+	Deadline            Millis  // time that a client has for a request, including the client's own retries
+	PriorityWeight      float64 // value of a response within the latency objective; requests of the lowest weight are shed first
+	LateWeight          float64 // fraction of PriorityWeight that a response after the latency objective earns
 	Idempotency         Idempotency
-	DeduplicationScope  DeduplicationScope // of WithIdempotencyKey
-	DeduplicationWindow Millis             // of WithIdempotencyKey: how long repeats are dropped
-	Streaming           bool               // the response is a stream: OnResponseStarted reports its start
-	Removed             bool               // no new request is of it; its number is kept for those in progress
+	DeduplicationScope  DeduplicationScope // used with WithIdempotencyKey
+	DeduplicationWindow Millis             // used with WithIdempotencyKey: how long upstreams drop duplicates
+	Streaming           bool               // responses are streamed: OnResponseStarted reports their start
+	Removed             bool               // no new request may have this class; requests in progress still use its index
 }
 
-// Config holds the settings of an instance. It is not changed after it was handed over.
+// Config holds the settings of an instance. It must not be modified after it was passed to New or OnSettings.
 type Config struct {
-	Instance          int // the number of this instance among its replicas, from 0
-	Replicas          int // instances like this one, itself included
-	Tier              int // the tier that this instance sends to, 0 being the first
-	TierCount         int
-	Zone              uint16
-	Classes           []Class
-	TenantQuota       []float64 // requests a second over all replicas, by tenant; 0 is no limit
-	OverQuotaWeight   float64   // share of its priority weight that a request beyond the quota keeps
-	PollEndpoints     bool      // endpoint updates come only after WatchEndpoints
-	Granularity       Millis    // the least time between two batches of events
-	SlowStartCapacity float64   // share of its capacity that an upstream has at its start, at the least
-	SlowStartDuration Millis    // until an upstream is warm, at the most
-	OverloadMultiple  float64   // of its capacity, beyond which an upstream fails; no decision reads it
-	OverloadDuration  Millis    // for this long
-	MaxAttempts       int       // of one request
-	CanCancel         bool      // attempts may be cancelled
-	Hedging           bool      // two attempts of a request may be in flight at once; no decision makes use of it
-	MaxRetryAfter     Millis    // longest Retry-After that clients follow; 0: none is given
+	Instance          int       // index of this instance among its replicas, from 0
+	Replicas          int       // number of instances that share the load, including this one
+	Tier              int       // index of the tier that this instance sends to, from 0
+	TierCount         int       // total number of tiers
+	Zone              uint16    // zone of this instance
+	Classes           []Class   // indexed by RequestArrived.Class
+	TenantQuota       []float64 // requests per second over all replicas, indexed by RequestArrived.Tenant; 0: unlimited
+	OverQuotaWeight   float64   // fraction of its priority weight that a request over its tenant's quota keeps
+	PollEndpoints     bool      // the host reports endpoint updates only after a WatchEndpoints action
+	Granularity       Millis    // minimum time between two batches of events from the host
+	SlowStartCapacity float64   // minimum fraction of its capacity that an upstream has when it starts
+	SlowStartDuration Millis    // maximum time from the start of an upstream until it has its full capacity
+	OverloadMultiple  float64   // an upstream fails under more than this multiple of its capacity; no decision uses it
+	OverloadDuration  Millis    // time above OverloadMultiple after which an upstream fails
+	MaxAttempts       int       // maximum number of attempts of a request
+	CanCancel         bool      // attempts in flight may be cancelled
+	Hedging           bool      // two attempts of a request may be in flight at once; no decision uses it
+	MaxRetryAfter     Millis    // longest Retry-After that clients follow; 0 if responses carry no Retry-After
 }
 
 // EndpointState is the state of an upstream in the endpoint list.
 type EndpointState uint8
 
-// The states.
+// Values of EndpointState.
 const (
-	Removed EndpointState = iota
-	Ready
-	Draining
+	Removed  EndpointState = iota // no longer in the endpoint list
+	Ready                         // accepts requests
+	Draining                      // finishes its requests and accepts no new ones
 )
 
 // Endpoint is one entry of the endpoint list.
@@ -81,5 +81,5 @@
 	Zone      uint16
 	Cell      uint16
 	State     EndpointState
-	StartedAt Millis // 0: long ago
+	StartedAt Millis // start of the upstream's process; 0 if that is long ago
 }
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -1,6 +1,7 @@
 package balance
 
-// The endpoints: what discovery and the operators say of the upstreams.
+// Endpoints: the upstreams as reported by discovery, and the overrides by which operators disable and enable
+// them.
 
 import (
 	"cmp"
@@ -8,46 +9,47 @@
 	"slices"
 )
 
-// upstream is one upstream as this instance sees it.
+// upstream is what an instance knows about one upstream.
 type upstream struct {
 	Endpoint
-	order    uint64 // in the table, the same at all instances
-	inFlight int
+	sortKey  uint64 // hash of the id, by which endpointTable.ordered is sorted the same at all instances
+	inFlight int    // attempts of this instance in flight that count as load
 
-	sendsSinceTick  float64
-	slowStartTokens float64 // sends allowed while warming up
+	attemptsSinceTick float64 // attempts sent to it since the last tick
+	slowStartTokens   float64 // number of attempts that may be sent to it while it is warming up
 
-	consecutiveFailures float64 // weighted by failureWeights
-	ejectedUntil        Millis
-	ejectionBackoff     Millis
-	onProbation         bool // it was ejected, and has not responded since
-	unresponsive        bool
-	lastResponse        Millis
+	consecutiveFailures float64 // sum of the failureWeights of the failures since the last success
+	ejectedUntil        Millis  // end of its last ejection
+	ejectionBackoff     Millis  // duration of its last ejection without jitter; 0 after a successful response
+	onProbation         bool    // it was ejected and has not sent a successful response since
+	unresponsive        bool    // it has attempts in flight and sends no responses; see detectUnresponsive
+	lastResponse        Millis  // time of its last response
 
-	reportedInFlight float64 // by its last load report
-	reportedAt       Millis  // long ago if never
+	reportedInFlight float64 // requests in flight at it, from all instances, by its last load report
+	reportedAt       Millis  // time of its last load report; minus infinity if there is none
 }
 
-// endpointTable holds the upstreams, and what operators have said of them.
+// endpointTable holds the upstreams and the overrides of operators.
 type endpointTable struct {
 	byID          map[UpstreamID]*upstream
-	ordered       []*upstream
-	disabledSince map[UpstreamID]Millis // those that operators have disabled
-	reenabled     []reenabledUpstream
+	ordered       []*upstream           // sorted by sortKey
+	disabledSince map[UpstreamID]Millis // time at which operators disabled an upstream, while it is disabled
+	reenabled     []reenabledUpstream   // upstreams that operators have enabled again
 }
 
-// reenabledUpstream is an upstream that operators have enabled again. It is dropped once it is warm.
+// reenabledUpstream records that operators have enabled an upstream again. The record is needed until the
+// upstream is warm.
 type reenabledUpstream struct {
 	id        UpstreamID
-	startedAt Millis // no earlier start is believed
-	probed    bool   // a request was forwarded to it since
+	startedAt Millis // earlier start times in the endpoint list are ignored
+	probed    bool   // a request was forwarded to it after it was enabled
 }
 
 func newEndpointTable() endpointTable {
 	return endpointTable{byID: map[UpstreamID]*upstream{}, disabledSince: map[UpstreamID]Millis{}}
 }
 
-// earliestStart is the earliest start that is believed of an upstream, 0 for any.
+// earliestStart returns the earliest start time that is accepted for an upstream, or 0 if any is accepted.
 func (t *endpointTable) earliestStart(id UpstreamID) Millis {
 	for _, r := range t.reenabled {
 		if r.id == id {
@@ -64,13 +66,13 @@
 }
 
 func (t *endpointTable) add(id UpstreamID) *upstream {
-	u := &upstream{Endpoint: Endpoint{ID: id}, order: scatter(id)}
+	u := &upstream{Endpoint: Endpoint{ID: id}, sortKey: hashID(id)}
 	t.byID[id] = u
 	t.ordered = append(t.ordered, u)
 	return u
 }
 
-// prune drops the removed upstreams at which nothing is in flight, and brings the others into order.
+// prune deletes the removed upstreams that have no attempt in flight, and sorts the remaining ones.
 func (t *endpointTable) prune() {
 	t.ordered = slices.DeleteFunc(t.ordered, func(u *upstream) bool {
 		if u.State != Removed || u.inFlight > 0 {
@@ -79,16 +81,17 @@
 		delete(t.byID, u.ID)
 		return true
 	})
-	slices.SortFunc(t.ordered, func(x, y *upstream) int { return cmp.Compare(x.order, y.order) })
+	slices.SortFunc(t.ordered, func(x, y *upstream) int { return cmp.Compare(x.sortKey, y.sortKey) })
 }
 
-// available reports whether anything may be forwarded to the upstream at all.
+// available reports whether attempts may be sent to an upstream at all: it is ready, and not disabled by
+// operators.
 func (b *Balancer) available(u *upstream) bool {
 	_, disabled := b.endpoints.disabledSince[u.ID]
 	return u.State == Ready && !disabled
 }
 
-// updateEndpoints applies an update of the endpoints.
+// updateEndpoints applies an update of the endpoint list.
 func (b *Balancer) updateEndpoints(e EndpointUpdate) {
 	b.watchBackoff = minWatchBackoff
 	if e.Snapshot {
@@ -101,8 +104,9 @@
 	b.updateUpstreamSets()
 }
 
-// updateEndpoint applies one endpoint. A new process under an old id is a new upstream. A removed endpoint
-// may be reported without its zone: the upstream keeps its zone, where its attempts in flight are counted.
+// updateEndpoint applies one entry of an endpoint update. A new process with a known id is treated as a new
+// upstream. A removed endpoint may be reported without its zone, so the upstream keeps the zone in which its
+// attempts in flight are counted.
 func (b *Balancer) updateEndpoint(e Endpoint) {
 	u := b.endpoints.byID[e.ID]
 	switch {
@@ -121,20 +125,20 @@
 	u.StartedAt = max(e.StartedAt, b.endpoints.earliestStart(e.ID))
 }
 
-// resetUpstream forgets what was learned of an upstream.
+// resetUpstream drops all that was learned about an upstream, except its attempts in flight.
 func (b *Balancer) resetUpstream(u *upstream) {
 	endpoint := u.Endpoint
 	endpoint.StartedAt = max(endpoint.StartedAt, b.endpoints.earliestStart(u.ID))
 	*u = upstream{
 		Endpoint:        endpoint,
-		order:           u.order,
+		sortKey:         u.sortKey,
 		inFlight:        u.inFlight,
 		slowStartTokens: b.rng.Float64(),
 		reportedAt:      math.Inf(-1),
 	}
 }
 
-// disable lets nothing new go to an upstream until it is enabled again. What is in flight there goes on.
+// disable stops new attempts to an upstream until it is enabled again. Attempts in flight continue.
 func (b *Balancer) disable(id UpstreamID) {
 	if _, disabled := b.endpoints.disabledSince[id]; disabled {
 		return
@@ -143,8 +147,9 @@
 	b.updateUpstreamSets()
 }
 
-// enable lets an upstream serve again. It was restarted meanwhile, so it is warming up: since the start that
-// the endpoint list has reported while it was disabled, or else from now on.
+// enable allows attempts to a disabled upstream again. The upstream was restarted in the meantime and
+// therefore warms up. Its start time is the one that the endpoint list has reported since the upstream was
+// disabled or, if there is none, the present time.
 func (b *Balancer) enable(id UpstreamID) {
 	since, disabled := b.endpoints.disabledSince[id]
 	if !disabled {
@@ -163,7 +168,7 @@
 	b.updateUpstreamSets()
 }
 
-// addReenabled enters an upstream that was enabled again, and drops those that are warm.
+// addReenabled records that an upstream was enabled again, and drops the records of upstreams that are warm.
 func (b *Balancer) addReenabled(id UpstreamID, startedAt Millis) {
 	t := &b.endpoints
 	t.reenabled = slices.DeleteFunc(t.reenabled, func(r reenabledUpstream) bool {
@@ -172,8 +177,9 @@
 	t.reenabled = append(t.reenabled, reenabledUpstream{id: id, startedAt: startedAt})
 }
 
-// scatter spreads ids evenly (the finalizer of SplitMix64), so that their order says nothing of the ids.
-func scatter(id UpstreamID) uint64 {
+// hashID mixes the bits of an id by the finalizer of SplitMix64, so that the order of the hashes does not
+// depend on the order of the ids.
+func hashID(id UpstreamID) uint64 {
 	x := uint64(id) + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/balance/events.go
+++ b/balance/events.go
@@ -1,55 +1,55 @@
 package balance
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome uint8
 
-// The outcomes. Their order counts: from Cancelled on, an outcome says nothing of the upstream; from
-// NotSent on, the attempt never ran.
+// Values of Outcome. Their order matters: Cancelled and later values say nothing about the upstream, and
+// NotSent and later values mean that the attempt was not executed.
 const (
-	OK              Outcome = iota
-	UpstreamError           // may have run
-	Overloaded              // the upstream rejected it unread
-	TimedOut                // may have run, or still run
-	ConnectFailed           // never ran: the request was not delivered as a whole
-	ConnectionReset         // may have run
-	Cancelled               // may have run
-	NotSent                 // the host did not send it
-	InvalidRequest          // never ran: the request itself is malformed, and its client has its response
+	OK              Outcome = iota // the upstream served the request
+	UpstreamError                  // the upstream responded with an error, and may have executed the request
+	Overloaded                     // the upstream rejected the request without processing it
+	TimedOut                       // the upstream may have executed the request, or may still be executing it
+	ConnectFailed                  // not executed: the request was not sent completely
+	ConnectionReset                // the upstream may have executed the request
+	Cancelled                      // the upstream may have executed the request
+	NotSent                        // not executed: the host did not send the request
+	InvalidRequest                 // not executed: the request is malformed, and the client has its final response
 )
 
-// NeverRan reports whether the outcome proves that the attempt did not run.
+// NeverRan reports whether the outcome proves that the upstream did not execute the request.
 func (o Outcome) NeverRan() bool { return o == Overloaded || o == ConnectFailed || o >= NotSent }
 
 // RequestArrived reports a new request.
 type RequestArrived struct {
 	Request        RequestID
-	Class          uint8
-	Tenant         uint16
+	Class          uint8  // index in Config.Classes
+	Tenant         uint16 // index in Config.TenantQuota
 	ExpiresIn      Millis // time until the client gives up
-	BodyIncomplete bool   // its last byte has not arrived yet; its time begins with OnBodyComplete
+	BodyIncomplete bool   // the last byte has not arrived yet; the time of the request starts with OnBodyComplete
 }
 
-// AttemptEnded reports how an attempt ended.
+// AttemptEnded reports the end of an attempt.
 type AttemptEnded struct {
 	Request          RequestID
-	Attempt          int // its number among the attempts of the request, from 0
+	Attempt          int // index of the attempt among those of the request, from 0
 	Outcome          Outcome
 	Elapsed          Millis  // time since the attempt was sent
-	RequestDone      bool    // the request has its final response, or needs none
-	BodySent         bool    // a part of the request's body is used up, so that it can't be sent again
-	LoadReported     bool    // the upstream sent a load report
-	ReportedInFlight float64 // requests that the upstream had in flight recently, from all instances
+	RequestDone      bool    // the request has its final response or needs none
+	BodySent         bool    // part of the request body was sent and is no longer stored, so it cannot be sent again
+	LoadReported     bool    // the response carries a load report: ReportedInFlight is set
+	ReportedInFlight float64 // requests that the upstream recently had in flight from all instances
 }
 
-// ResponseStarted reports the start of a streaming response.
+// ResponseStarted reports the start of a streamed response.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
 	Elapsed Millis // time since the attempt was sent
 }
 
-// EndpointUpdate reports the endpoints that have changed or, as a snapshot, all of them.
+// EndpointUpdate reports changes of the endpoint list (a delta) or the whole list (a snapshot).
 type EndpointUpdate struct {
 	Endpoints []Endpoint
-	Snapshot  bool // endpoints that are not named are removed
+	Snapshot  bool // endpoints that are not in Endpoints are removed
 }
--- a/balance/limiter.go
+++ b/balance/limiter.go
@@ -1,34 +1,34 @@
 package balance
 
-// The concurrency limit: how many attempts may be in flight, learned from the latency of this instance's own
-// attempts. Only the first tier has one.
+// Concurrency limit: the maximum number of attempts in flight, learned from the latencies of this instance's
+// own attempts. Only instances that send to the first tier have a limit.
 
 import "math"
 
 const (
-	lateRatio        = 0.5   // mean share of the latency objective at which many responses are late
-	minBaselineRatio = 0.05  // a smaller share of the objective is no measure of queues
-	maxBaselineRatio = 0.4   // a larger share comes from queues
-	baselineRiseGain = 0.004 // by which the baseline follows a lasting change, at each outcome
-	ratioGain        = 0.05  // weight of the newest outcome in the mean ratios
-	limitGain        = 1.4   // attempts per warm upstream and round trip, for each unit off the target ratio
-	minUtilization   = 0.8   // a limit rises only while this much of it is in use
-	initialLimit     = 6.0   // attempts in flight per upstream, of all replicas together
-	minLimit         = 0.5   // attempts in flight per upstream, of all replicas together
-	minLimitOnErrors = 4.0   // the same, where errors alone would lower the limit further
-	minCapacity      = 0.1   // attempts in flight of one instance: it has to go on learning
+	lateRatio        = 0.5   // mean latency ratio at which many responses are late
+	minBaselineRatio = 0.05  // lower bound of the baseline: smaller latency ratios are no measure of queueing
+	maxBaselineRatio = 0.4   // upper bound of the baseline: larger latency ratios are caused by queueing
+	baselineRiseGain = 0.004 // fraction of the way to a higher mean that the baseline moves at each outcome
+	ratioGain        = 0.05  // weight of the newest outcome in the mean latency ratios
+	limitGain        = 1.4   // fraction by which a limit changes per round trip at a ratio 1.0 off its target
+	minUtilization   = 0.8   // a limit rises only while at least this fraction of it is in use
+	initialLimit     = 6.0   // limit at the start: attempts in flight per upstream, over all replicas
+	minLimit         = 0.5   // lower bound of a limit: attempts in flight per upstream, over all replicas
+	minLimitOnErrors = 4.0   // like minLimit, while responses are fast and only errors lower the limit
+	minCapacity      = 0.1   // lower bound of an instance's limit, in attempts, so that it keeps measuring
 )
 
-// concurrencyLimiter holds the latency ratios that the limits are moved by: shares of the latency objective
-// that attempts took, 1 for those without a response in time.
+// concurrencyLimiter holds the mean latency ratios by which the limits are adjusted. The latency ratio of an
+// attempt is its latency as a fraction of the latency objective, or 1 if it got no response in time.
 type concurrencyLimiter struct {
-	latencyRatio  mean
-	answeredRatio mean    // of the attempts that were answered
-	baselineRatio float64 // the latency ratio without queues
+	latencyRatio   mean    // mean of all attempts
+	okLatencyRatio mean    // mean of the successful attempts
+	baselineRatio  float64 // estimate of the latency ratio without queueing
 }
 
-// record enters the latency ratio of an attempt. The baseline is known from the first outcome on, falls at
-// once and rises slowly.
+// record adds the latency ratio of an attempt. During the first minRequests outcomes the baseline equals the
+// mean. Later it falls to a lower mean at once and rises slowly to a higher one.
 func (l *concurrencyLimiter) record(ratio float64) {
 	l.latencyRatio.add(ratio, ratioGain)
 	if l.latencyRatio.n <= minRequests || l.latencyRatio.value < l.baselineRatio {
@@ -37,18 +37,18 @@
 	l.baselineRatio += (l.latencyRatio.value - l.baselineRatio) * baselineRiseGain
 }
 
-// targetRatio is the latency ratio at which a limit settles: halfway, on a scale of ratios, between the
-// baseline and late responses.
+// targetRatio returns the latency ratio at which a limit settles: the geometric mean of the baseline and
+// lateRatio.
 func (l *concurrencyLimiter) targetRatio() float64 {
 	baseline := min(maxBaselineRatio, max(l.baselineRatio, minBaselineRatio))
 	return math.Sqrt(baseline * lateRatio)
 }
 
-// updateLimitByOutcome moves the limit of a zone class by the outcome of one of its attempts.
+// updateLimitByOutcome adjusts the limit of a zone class by the outcome of one of its attempts.
 func (b *Balancer) updateLimitByOutcome(z *zoneClass, outcome Outcome, ratio float64) {
 	switch outcome {
 	case OK:
-		b.limiter.answeredRatio.add(ratio, ratioGain)
+		b.limiter.okLatencyRatio.add(ratio, ratioGain)
 		b.updateLimit(z, ratio)
 	case TimedOut, Overloaded:
 		b.updateLimit(z, 1)
@@ -57,18 +57,19 @@
 	}
 }
 
-// updateLimitByError lowers the limit of a zone class, but not far while other responses are quick: errors
-// beside them come from no queue.
+// updateLimitByError lowers the limit of a zone class after an error. While successful responses are fast, it
+// does not lower the limit below minLimitOnErrors, because such errors are not caused by queueing.
 func (b *Balancer) updateLimitByError(z *zoneClass) {
 	before := z.limitPerUpstream
 	b.updateLimit(z, 1)
-	if b.limiter.answeredRatio.value < maxBaselineRatio {
+	if b.limiter.okLatencyRatio.value < maxBaselineRatio {
 		z.limitPerUpstream = max(z.limitPerUpstream, min(before, minLimitOnErrors/b.replicas()))
 	}
 }
 
-// updateLimit moves the limit of a zone class by the latency ratio of one of its attempts. The attempts of a
-// round trip together move it by a bounded share.
+// updateLimit adjusts the limit of a zone class by the latency ratio of one of its attempts. The step is
+// divided by the number of warm upstreams, so that all attempts of one round trip together change the limit
+// by a bounded fraction.
 func (b *Balancer) updateLimit(z *zoneClass, ratio float64) {
 	b.limiter.record(ratio)
 	step := limitGain * (b.limiter.targetRatio() - ratio) / max(1, z.warmEquivalents)
@@ -77,15 +78,16 @@
 	}
 }
 
-// hasCapacity reports whether a request may be forwarded now. Without any upstream there is nothing to wait
-// for.
+// hasCapacity reports whether a request may be forwarded now. It is also true without any upstream, because
+// there is no capacity that the request could wait for.
 func (b *Balancer) hasCapacity(r *request) bool {
 	return b.zoneHasCapacity(localZone, r) || b.zoneHasCapacity(remoteZones, r) || b.warmEquivalents() == 0
 }
 
-// zoneHasCapacity reports whether a zone class is under its limit. Inner tiers have none: a request that
-// waits there stays in flight in the tier above. The fraction of a limit that is no whole number
-// is there for as large a share of the time, by the rounding draw. The minimum is for one zone class alone.
+// zoneHasCapacity reports whether the load of a zone class is below its limit. Inner tiers have no limit,
+// because a request that waits there stays in flight in the tier in front. A fractional limit is rounded up
+// at random, with the probability of its fraction, by roundingDraw. minCapacity applies to one zone class
+// only: the local one if it has upstreams, else the remote one.
 func (b *Balancer) zoneHasCapacity(zone int, r *request) bool {
 	if b.settings.Tier > 0 {
 		return true
@@ -98,9 +100,9 @@
 	return z.warmEquivalents > 0 && b.weightedInFlight(z, r)+z.roundingDraw < max(minimum, z.limit())
 }
 
-// weightedInFlight is how many attempts of a zone class count against a request's capacity: all of its weight
-// or more, and those of less weight by the ratio, so that the higher weight passes where capacity is
-// small.
+// weightedInFlight returns the number of attempts in flight in a zone class as they count against the
+// capacity for the request r. Attempts of a lower priority weight count by the ratio of the weights, all
+// others count as 1. Requests of a higher weight are thus forwarded first when capacity is small.
 func (b *Balancer) weightedInFlight(z *zoneClass, r *request) float64 {
 	sum := 0.0
 	for class, n := range z.inFlightByClass {
--- a/balance/mean.go
+++ b/balance/mean.go
@@ -1,21 +1,22 @@
 package balance
 
-// serviceTimeGain is the weight of the newest service time in its mean.
+// serviceTimeGain is the weight of the newest service time in the mean service times.
 const serviceTimeGain = 0.02
 
-// mean is an average that forgets: exact over its first values, then exponential.
+// mean is a moving average: the arithmetic mean of its first values, and exponentially weighted after them.
 type mean struct {
 	value float64
-	n     float64
+	n     float64 // number of values
 }
 
-// add enters a value with the given weight, or a larger one as long as there are few values.
+// add adds a value with the weight gain, or 1/n if that is larger.
 func (m *mean) add(x, gain float64) {
 	m.n++
 	m.value += (x - m.value) * max(gain, 1/m.n)
 }
 
-// serviceTimes holds the typical times from sending a request to its response, in milliseconds.
+// serviceTimes holds the mean service times: the times in ms from sending an attempt to its successful
+// response.
 type serviceTimes struct {
 	byClass []mean
 	all     mean
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -1,31 +1,33 @@
 package balance
 
-// Outlier detection: upstreams that fail or do not respond are ejected for a while.
+// Outlier detection: upstreams that fail or do not respond are ejected for a limited time.
 
 import "math"
 
 const (
-	loadPerFailure                = 2 // attempts in flight that each consecutive failure counts as
-	failuresToEject               = 3 // consecutive, as a sum of failureWeights
-	connectFailuresToEject        = 2
-	minEjection            Millis = 2000 // the first one; it doubles
-	maxEjection            Millis = 16000
-	minEjectionJitter             = 0.75 // of the backoff; the most is 1.25
-	maxEjectedFraction            = 0.5  // of the upstreams; if more look bad, they are not the cause
-
-	unresponsiveMultiple        = 4.0 // typical service times without any response
-	minUnresponsive      Millis = 300 // the least time without any response
+	loadPerFailure                = 2     // attempts in flight that a consecutive failure counts as
+	failuresToEject               = 3     // consecutive failures that eject, as a sum of failureWeights
+	connectFailuresToEject        = 2     // failures that eject if the last one is a ConnectFailed
+	minEjection            Millis = 2000  // duration of the first ejection; it doubles with each further one
+	maxEjection            Millis = 16000 // upper bound of the duration, without jitter
+	minEjectionJitter             = 0.75  // random factor of the duration: at least this, below 1.25
+	maxEjectedFraction            = 0.5   // of the available upstreams; if more fail, the cause is elsewhere
+
+	unresponsiveMultiple          = 4.0 // an upstream may take this many mean service times to respond
+	minUnresponsiveTimeout Millis = 300 // lower bound of unresponsiveTimeout
 )
 
-// failureWeights weighs failures by how seldom they come by chance from an upstream in good health.
+// failureWeights holds the weight of each kind of failure. It is lower for a kind that upstreams in good
+// health cause more often by chance.
 var failureWeights = [...]float64{UpstreamError: 1, TimedOut: 1, ConnectFailed: 1, ConnectionReset: 0.625}
 
-// outlierDetection is what detection knows of all upstreams together.
+// outlierDetection is the state of outlier detection that concerns all upstreams together.
 type outlierDetection struct {
-	lastSuccess Millis // of any of them
+	lastSuccess Millis // time of the last successful response of any upstream
 }
 
-// usable reports whether the upstream is to be used on the ordinary path.
+// usable reports whether an upstream may be selected normally: it is available, responsive and not ejected.
+// An upstream on probation gets one attempt at a time.
 func (b *Balancer) usable(u *upstream) bool {
 	if !b.available(u) || u.unresponsive || b.now < u.ejectedUntil {
 		return false
@@ -33,7 +35,7 @@
 	return !u.onProbation || u.inFlight == 0
 }
 
-// recordOutcome records what an outcome says of its upstream, its class of requests and its zone class.
+// recordOutcome records the outcome of an attempt for its upstream, its class of requests and its zone class.
 func (b *Balancer) recordOutcome(r *request, a *attempt, outcome Outcome, elapsed Millis) {
 	u := a.upstream
 	switch outcome {
@@ -60,9 +62,10 @@
 	b.zoneOf(u).recordServed(elapsed / max(1, b.serviceTimes.byClass[class].value))
 }
 
-// recordFailure counts a failure against an upstream, and ejects it if there are too many.
+// recordFailure counts a failure of an upstream. It ejects the upstream after too many consecutive failures,
+// or after one failure on probation.
 func (b *Balancer) recordFailure(r *request, u *upstream, outcome Outcome, elapsed Millis) {
-	if b.blamesUpstream(r, outcome, elapsed) {
+	if b.countsAgainstUpstream(r, outcome, elapsed) {
 		u.consecutiveFailures += failureWeights[outcome]
 	}
 	cannotConnect := outcome == ConnectFailed && u.consecutiveFailures >= connectFailuresToEject
@@ -71,16 +74,16 @@
 	}
 }
 
-// blamesUpstream reports whether a failure counts against its upstream. An error from a later tier does not,
-// nor does a time-out that left it less time than it needs.
-func (b *Balancer) blamesUpstream(r *request, outcome Outcome, elapsed Millis) bool {
+// countsAgainstUpstream reports whether a failure counts against its upstream. An error from a later tier
+// does not, nor does a timeout that was too short for the upstream to respond.
+func (b *Balancer) countsAgainstUpstream(r *request, outcome Outcome, elapsed Millis) bool {
 	if b.fromLaterTier(r, outcome, elapsed) {
 		return false
 	}
 	return outcome != TimedOut || elapsed > unresponsiveMultiple*b.serviceTimes.all.value
 }
 
-// eject lets nothing go to an upstream for a while, unless too many are ejected already.
+// eject stops attempts to an upstream for a limited time, unless too many upstreams are ejected already.
 func (b *Balancer) eject(u *upstream) {
 	if !b.mayEject() {
 		return
@@ -109,9 +112,10 @@
 	return float64(ejected+1) <= maxEjectedFraction*float64(available)
 }
 
-// detectUnresponsive looks for upstreams that do not respond at all, before the outcome of an attempt shows
-// it. Nothing more goes to one. What is in flight there runs on to its time-out: sent again elsewhere, it
-// would use capacity for requests that can still be served. Once that has ended, the upstream is ejected.
+// detectUnresponsive finds upstreams that do not respond at all, without waiting for the outcomes of their
+// attempts, and stops new attempts to them. Their attempts in flight continue until their timeouts: retried
+// at other upstreams, they would use capacity for requests that can still be served. The upstream is ejected
+// when the last of them has ended.
 func (b *Balancer) detectUnresponsive() {
 	timeout := b.unresponsiveTimeout()
 	for _, r := range b.requests.arrivals {
@@ -127,18 +131,19 @@
 	}
 }
 
-// unresponsiveTimeout is how long an upstream may be silent. If none responds, it is not one upstream's
-// fault.
+// unresponsiveTimeout returns how long an upstream may take to respond before it counts as unresponsive. The
+// timeout is infinite if no upstream has responded recently, because then the cause is not a single upstream.
 func (b *Balancer) unresponsiveTimeout() Millis {
-	timeout := max(minUnresponsive, unresponsiveMultiple*b.serviceTimes.all.value)
+	timeout := max(minUnresponsiveTimeout, unresponsiveMultiple*b.serviceTimes.all.value)
 	if b.now-b.outliers.lastSuccess > timeout/2 {
 		return math.Inf(1)
 	}
 	return timeout
 }
 
-// checkResponsive marks the upstream of an attempt that has got no response in time, if it responds to
-// nothing else. Where the attempt is the only one in flight it is given twice the time.
+// checkResponsive marks the upstream of an attempt as unresponsive if the attempt has been in flight for
+// longer than the timeout and the upstream has sent no response to any request since. If the attempt is the
+// only one in flight at its upstream, twice the timeout applies.
 func (b *Balancer) checkResponsive(a *attempt, timeout Millis) {
 	u := a.upstream
 	waited := b.now - a.sentAt
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -1,16 +1,16 @@
 package balance
 
-// The admission queue: requests that wait, for a short time, until the concurrency limit has capacity.
+// Admission queue: requests that wait for a short time until the concurrency limit has capacity.
 
 import "slices"
 
-// maxQueueFraction is the longest wait, as a share of the latency objective.
+// maxQueueFraction is the longest time in the queue, as a fraction of the latency objective.
 const maxQueueFraction = 0.35
 
-// admissionQueue holds requests, the highest priority weight first.
+// admissionQueue holds the waiting requests, sorted by descending priority weight and then by arrival.
 type admissionQueue []*request
 
-// insert puts a request behind those of its weight or more.
+// insert adds a request behind all requests of the same or a higher weight.
 func (q *admissionQueue) insert(r *request) {
 	at := len(*q)
 	for at > 0 && (*q)[at-1].weight < r.weight {
@@ -20,7 +20,7 @@
 	r.queued = true
 }
 
-// remove takes a request out, if it is queued.
+// remove removes a request if it is in the queue.
 func (q *admissionQueue) remove(r *request) {
 	if !r.queued {
 		return
@@ -31,8 +31,8 @@
 	}
 }
 
-// enqueue keeps a request back until there is capacity. If as many wait already as may be in flight, the one
-// of the lowest weight is rejected.
+// enqueue adds a request to the queue. If the queue is then longer than the number of attempts that may be in
+// flight, the last request, which is one of the lowest weight, is rejected.
 func (b *Balancer) enqueue(r *request) {
 	b.queue.insert(r)
 	if float64(len(b.queue)) > b.totalCapacity() {
@@ -45,7 +45,7 @@
 	b.outbox.setTimer(SetTimer{Timer: TimerID(r.id), After: b.queueTimeout(r)})
 }
 
-// queueTimeout is how long a request may wait from now on, so that it can still be served in time.
+// queueTimeout returns how long a request may wait from now on, so that it can still be served in time.
 func (b *Balancer) queueTimeout(r *request) Millis {
 	longest := r.classRules().LatencyObjective * maxQueueFraction
 	untilUseless := r.usefulUntil - b.serviceTimes.byClass[r.class].value/2 - b.now
--- a/balance/request.go
+++ b/balance/request.go
@@ -1,38 +1,38 @@
 package balance
 
-// Requests in progress: their attempts, and their one final response.
+// Requests in progress: their attempts and their final responses.
 
-// noAttempt is the number of an attempt that there is none of.
+// noAttempt stands for no attempt where the index of an attempt is expected.
 const noAttempt = -1
 
-// request is one request of this instance, until the last of its attempts has ended.
+// request is the state of a request from its arrival until its last attempt has ended.
 type request struct {
 	id              RequestID
-	settings        *Config // the settings that it came under, which hold for it to its end
+	settings        *Config // settings at the arrival of the request, which apply until its end
 	class           uint8
-	concluded       bool // it has its final response, or needs none: nothing may be forwarded for it any more
-	queued          bool
-	bodyIncomplete  bool // its last byte has not arrived yet
-	bodySent        bool // a part of its body is used up: it can't be sent again
-	weight          float64
+	concluded       bool    // it has its final response or needs none, so nothing more is forwarded for it
+	queued          bool    // it is in the admission queue
+	bodyIncomplete  bool    // the last byte of its body has not arrived yet
+	bodySent        bool    // part of its body was sent and is no longer stored, so it cannot be retried
+	weight          float64 // PriorityWeight of its class, reduced if its tenant is over quota
 	arrivedAt       Millis
-	usefulUntil     Millis // a response after that is worth nothing, or nobody waits for it
-	expiresAt       Millis // the client gives up
+	usefulUntil     Millis // a later response earns nothing, or the client no longer waits for it
+	expiresAt       Millis // the client gives up at this time
 	attempts        []attempt
-	openAttempts    int // attempts that have not ended
-	firstMayHaveRun int // number of the first attempt not known never to have run, or noAttempt
+	openAttempts    int // number of attempts that have not ended
+	firstMayHaveRun int // index of the first attempt that an upstream may have executed, or noAttempt
 }
 
-// attempt is one sending of a request to an upstream.
+// attempt is one try to get a request served by an upstream.
 type attempt struct {
 	upstream     *upstream
 	sentAt       Millis
 	ended        bool
-	notSent      bool // it ended without being sent
-	countsAsLoad bool // the upstream has the complete request and has not begun to respond: it counts as load
+	notSent      bool // it ended with the outcome NotSent
+	countsAsLoad bool // the upstream has the complete request and has not started to respond
 }
 
-// classRules is what the settings say of the request's class.
+// classRules returns the settings of the request's class.
 func (r *request) classRules() *Class { return &r.settings.Classes[r.class] }
 
 func (r *request) triedAt(u *upstream) bool {
@@ -44,16 +44,17 @@
 	return false
 }
 
-// requestTable holds the requests in progress. Their memory is reused.
+// requestTable holds the requests in progress, and the memory of finished ones for reuse.
 type requestTable struct {
 	byID     map[RequestID]*request
-	arrivals []*request // in order of arrival; finished ones stay until the next tick
-	free     []*request
+	arrivals []*request // sorted by arrival; finished requests are removed at the next tick
+	free     []*request // finished requests whose memory can be reused
 }
 
 func newRequestTable() requestTable { return requestTable{byID: map[RequestID]*request{}} }
 
-// acquire returns a request to fill in, with memory for attempts if there is a used one.
+// acquire returns a request to be filled in. It reuses a finished one with the memory of its attempts if
+// there is one.
 func (t *requestTable) acquire() *request {
 	n := len(t.free)
 	if n == 0 {
@@ -69,7 +70,7 @@
 	t.arrivals = append(t.arrivals, r)
 }
 
-// dropFinished makes the memory of finished requests free again.
+// dropFinished removes the finished requests from the table and keeps their memory for reuse.
 func (t *requestTable) dropFinished() {
 	kept := t.arrivals[:0]
 	for _, r := range t.arrivals {
@@ -83,7 +84,7 @@
 	t.arrivals = kept
 }
 
-// addRequest enters a request that has arrived.
+// addRequest adds a request that has arrived to the requests in progress.
 func (b *Balancer) addRequest(e *RequestArrived) *request {
 	r := b.requests.acquire()
 	c := &b.settings.Classes[e.Class]
@@ -103,8 +104,10 @@
 	return r
 }
 
-// usefulDeadline is the time after which a response is worth nothing: the latency objective, where it is
-// known and a late response earns nothing, and in any case the time at which the client gives up.
+// usefulDeadline returns the time after which a response to the request earns nothing. This is when the
+// client gives up or, if a late response earns nothing, two granularities before the end of the latency
+// objective. The objective is not used at inner tiers, which do not know it, nor for streamed responses and
+// incomplete bodies.
 func (b *Balancer) usefulDeadline(r *request) Millis {
 	c := r.classRules()
 	if b.settings.Tier > 0 || c.LateWeight > 0 || c.Streaming || r.bodyIncomplete {
@@ -113,14 +116,14 @@
 	return min(r.expiresAt, r.arrivedAt+c.LatencyObjective-2*b.settings.Granularity)
 }
 
-// beginInFlight counts an attempt as load of its upstream and zone class.
+// startLoad counts an attempt as load of its upstream and zone class.
 func (b *Balancer) startLoad(r *request, a *attempt) {
 	a.countsAsLoad = true
 	a.upstream.inFlight++
 	b.zoneOf(a.upstream).addInFlight(r.class, 1)
 }
 
-// endInFlight ends that, if it has not ended before.
+// endLoad stops counting an attempt as load. It does nothing if the attempt does not count as load.
 func (b *Balancer) endLoad(r *request, a *attempt) {
 	if !a.countsAsLoad {
 		return
@@ -130,11 +133,11 @@
 	b.zoneOf(a.upstream).addInFlight(r.class, -1)
 }
 
-// endAttempt records the outcome of an attempt, and decides what becomes of its request if no other attempt
-// is in flight.
+// endAttempt records the end of an attempt. If its request has neither a final response nor another attempt
+// in flight, the request is retried or given up.
 func (b *Balancer) endAttempt(r *request, a *attempt, e *AttemptEnded) {
 	wasConcluded := r.concluded
-	judgedBefore := !a.countsAsLoad && wasConcluded && e.Outcome == OK // a stream, judged by its beginning
+	recordedAtStart := !a.countsAsLoad && wasConcluded && e.Outcome == OK // by startStreaming
 	a.ended = true
 	a.notSent = e.Outcome == NotSent
 	r.openAttempts--
@@ -144,7 +147,7 @@
 		a.upstream.reportedInFlight = e.ReportedInFlight
 		a.upstream.reportedAt = b.now
 	}
-	if !judgedBefore {
+	if !recordedAtStart {
 		b.recordOutcome(r, a, e.Outcome, e.Elapsed)
 	}
 	if !wasConcluded {
@@ -164,7 +167,8 @@
 	}
 }
 
-// startStreaming judges an attempt by the beginning of its response, which is the request's response.
+// startStreaming records the outcome of an attempt when its response starts to be streamed, and concludes the
+// request, since this is its final response.
 func (b *Balancer) startStreaming(r *request, a *attempt, elapsed Millis) {
 	b.endLoad(r, a)
 	b.recordOutcome(r, a, OK, elapsed)
@@ -174,8 +178,8 @@
 	}
 }
 
-// completeRequest begins the time of a request whose last byte has arrived, and of its attempts.
-func (b *Balancer) completeRequest(r *request, expiresIn Millis) {
+// completeBody starts the time of a request and of its attempts when the last byte of its body has arrived.
+func (b *Balancer) completeBody(r *request, expiresIn Millis) {
 	r.bodyIncomplete = false
 	r.arrivedAt = b.now
 	r.expiresAt = b.now + expiresIn
@@ -191,7 +195,7 @@
 	}
 }
 
-// shortenDeadline cuts the time of a request in progress.
+// shortenDeadline moves the deadline of a request in progress to an earlier time.
 func (b *Balancer) shortenDeadline(r *request, expiresIn Millis) {
 	r.expiresAt = min(r.expiresAt, b.now+expiresIn)
 	r.usefulUntil = min(r.usefulUntil, r.expiresAt)
@@ -200,8 +204,8 @@
 	}
 }
 
-// conclude records that a request has its final response, or needs none. Attempts in flight are cancelled
-// where that is allowed: nobody waits for them.
+// conclude records that a request has its final response or needs none. Attempts in flight are cancelled
+// where allowed, since the client no longer waits for them.
 func (b *Balancer) conclude(r *request) {
 	r.concluded = true
 	b.queue.remove(r)
@@ -216,7 +220,7 @@
 }
 
 // cancellable reports whether an attempt may be cancelled once the request is concluded. A response that has
-// begun to stream goes on.
+// started to be streamed continues.
 func (r *request) cancellable(a *attempt) bool {
 	if a.ended || !r.settings.CanCancel || r.classRules().Streaming {
 		return false
@@ -224,16 +228,16 @@
 	return a.countsAsLoad || r.bodyIncomplete
 }
 
-// reject gives up a request before anything ran: it counts as a request that was not accepted, at once.
+// reject gives up a request that has had no attempt. The accept window counts the request as not accepted.
 func (b *Balancer) reject(r *request, reason GiveUpReason) {
 	b.window.count(r.class, 0)
 	b.giveUp(r, reason)
 }
 
-// giveUp gives the final response to a request that will not be served: a rejection where sending it again is
-// harmless and can still be of use, else a failure.
+// giveUp gives the final response to a request that is not served: a rejection if it is safe and still useful
+// to send the request again, else a failure.
 func (b *Balancer) giveUp(r *request, reason GiveUpReason) {
-	if r.harmlessToResend() && (r.firstMayHaveRun < 0 || b.now < r.usefulUntil) {
+	if r.safeToResend() && (r.firstMayHaveRun < 0 || b.now < r.usefulUntil) {
 		b.outbox.reject(RejectRequest{Request: r.id, RetryAfter: b.retryAfter(r), Reason: reason})
 	} else {
 		b.outbox.fail(FailRequest{Request: r.id, Reason: reason})
@@ -241,8 +245,8 @@
 	b.conclude(r)
 }
 
-// harmlessToResend reports whether a client may send the request again to any upstream.
-func (r *request) harmlessToResend() bool {
+// safeToResend reports whether a client may send the request again to any upstream.
+func (r *request) safeToResend() bool {
 	if r.firstMayHaveRun < 0 {
 		return true
 	}
@@ -251,8 +255,8 @@
 		c.Idempotency == WithIdempotencyKey && c.DeduplicationScope == ScopeAll
 }
 
-// retryAfter is when a client should send a request again: when the window has moved on, yet while an
-// response still earns its weight. 0 is no advice.
+// retryAfter returns the delay after which a client should send a request again: long enough for the window
+// to have moved on, and short enough for a response that still earns its weight. 0 means no advice.
 func (b *Balancer) retryAfter(r *request) Millis {
 	if b.settings.MaxRetryAfter <= 0 {
 		return 0
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -1,18 +1,18 @@
 package balance
 
-// Attempts and retries: what is forwarded, and what may be sent again within the retry budget and the rule on
+// Attempts and retries: forwarding of requests, and retries within the retry budget and the rule on
 // idempotency.
 
 const (
-	retryBudgetRatio = 0.1 // of recent requests may be retries
-	maxAttempts      = 3   // of one request, whatever more the settings allow
-	ownErrorFraction = 0.2 // of the typical service time: an earlier error is the upstream's own
+	retryBudgetRatio = 0.1 // maximum ratio of retries to recent requests
+	maxAttempts      = 3   // maximum number of attempts of a request, even if the settings allow more
+	ownErrorFraction = 0.2 // fraction of the mean service time: an earlier error is the upstream's own
 )
 
-// retryBudget counts retries over the buckets of the accept window.
+// retryBudget counts the recent retries, in the same buckets as the accept window.
 type retryBudget struct {
 	byBucket [bucketCount]float64
-	recent   float64
+	recent   float64 // sum of byBucket
 }
 
 func (t *retryBudget) count(bucket int) {
@@ -25,10 +25,11 @@
 	t.byBucket[bucket] = 0
 }
 
-// spent reports whether one more retry is too many for so many recent requests.
-func (t *retryBudget) spent(requests float64) bool { return t.recent+1 > retryBudgetRatio*requests }
+// exhausted reports whether one more retry exceeds the budget for the given number of recent requests.
+func (t *retryBudget) exhausted(requests float64) bool { return t.recent+1 > retryBudgetRatio*requests }
 
-// retryOrGiveUp decides what becomes of a request whose last attempt in flight ended without a response.
+// retryOrGiveUp retries a request or gives it up after its last attempt in flight ended without a response to
+// it.
 func (b *Balancer) retryOrGiveUp(r *request, a *attempt, outcome Outcome, elapsed Millis) {
 	if b.mayRetry(r, a) && !b.fromLaterTier(r, outcome, elapsed) {
 		b.forwardOrGiveUp(r)
@@ -37,8 +38,9 @@
 	}
 }
 
-// fromLaterTier reports whether an error seems to come from a tier behind the upstream: there is one, and the
-// upstream had time to call it. The instance right in front of that tier has retried already.
+// fromLaterTier reports whether an error probably comes from a tier behind the upstream: there is such a
+// tier, and the upstream had enough time to call it. The instance directly in front of that tier has already
+// retried, and retries at each tier would multiply the load.
 func (b *Balancer) fromLaterTier(r *request, outcome Outcome, elapsed Millis) bool {
 	if outcome != UpstreamError || b.settings.Tier+1 >= b.settings.TierCount {
 		return false
@@ -46,13 +48,13 @@
 	return elapsed > ownErrorFraction*b.serviceTimes.byClass[r.class].value
 }
 
-// mayRetry reports whether another attempt of a request is allowed and of use, after the given one. One that
-// replaces an attempt that was not sent is no additional load and costs none of the budget.
+// mayRetry reports whether another attempt of a request is allowed and useful after the given last one. An
+// attempt that replaces one that was not sent adds no load, so it is not charged to the retry budget.
 func (b *Balancer) mayRetry(r *request, last *attempt) bool {
 	if len(r.attempts) >= min(maxAttempts, r.settings.MaxAttempts) {
 		return false
 	}
-	if !last.notSent && b.retryBudget.spent(b.window.total.requests) {
+	if !last.notSent && b.retryBudget.exhausted(b.window.total.requests) {
 		return false
 	}
 	mayHaveRun := r.firstMayHaveRun >= 0
@@ -63,19 +65,20 @@
 	return remaining > b.serviceTimes.byClass[r.class].value/2 && remaining > 2*b.settings.Granularity
 }
 
-// mayRepeatAt reports whether the rule on idempotency lets the request go to this upstream. A request that
-// never ran, or that is idempotent, may go anywhere.
-func (b *Balancer) mayRepeatAt(r *request, u *upstream) bool {
+// mayRetryAt reports whether the rule on idempotency allows an attempt at an upstream. A request that was
+// never executed, or that is idempotent, may go to any upstream.
+func (b *Balancer) mayRetryAt(r *request, u *upstream) bool {
 	c := r.classRules()
 	if r.firstMayHaveRun < 0 || c.Idempotency == Idempotent {
 		return true
 	}
-	return b.dropsRepeatsOf(r, u)
+	return b.deduplicates(r, u)
 }
 
-// dropsRepeatsOf reports whether an upstream drops repeats of a request that may have run: one with an
-// idempotency key, within its scope and window.
-func (b *Balancer) dropsRepeatsOf(r *request, u *upstream) bool {
+// deduplicates reports whether an upstream drops a duplicate of a request that may have been executed: the
+// request has an idempotency key, its deduplication window has not ended, and the upstream is in the
+// deduplication scope of the first attempt.
+func (b *Balancer) deduplicates(r *request, u *upstream) bool {
 	c := r.classRules()
 	first := &r.attempts[r.firstMayHaveRun]
 	if c.Idempotency == NonIdempotent || b.now-first.sentAt >= c.DeduplicationWindow {
@@ -84,7 +87,8 @@
 	return sameScope(c.DeduplicationScope, first.upstream, u)
 }
 
-// sameScope reports whether two upstreams drop each other's repeats.
+// sameScope reports whether two upstreams are in the same deduplication scope, so that each drops duplicates
+// of what the other has executed.
 func sameScope(scope DeduplicationScope, x, y *upstream) bool {
 	if scope == ScopeAll {
 		return true
@@ -92,8 +96,8 @@
 	return x.Zone == y.Zone && (scope == ScopeZone || x.Cell == y.Cell)
 }
 
-// forwardOrGiveUp sends the next attempt of a request, or gives it up if no upstream can take it or nobody
-// waits for it any more.
+// forwardOrGiveUp sends the next attempt of a request. It gives the request up if no upstream can take it or
+// if a response would be too late to be useful.
 func (b *Balancer) forwardOrGiveUp(r *request) {
 	u := b.selectUpstream(r)
 	switch {
@@ -106,7 +110,8 @@
 	}
 }
 
-// giveUpUnsent gives up a request whose next attempt was not sent. Without any attempt it is a rejection.
+// giveUpUnsent gives up a request whose next attempt cannot be sent. A request without any attempt is
+// rejected.
 func (b *Balancer) giveUpUnsent(r *request, reason GiveUpReason) {
 	if len(r.attempts) == 0 {
 		b.reject(r, reason)
@@ -132,12 +137,13 @@
 	if float64(b.inFlight()) > b.subset.peakInFlight {
 		b.selectSubsets()
 	}
-	u.sendsSinceTick++
+	u.attemptsSinceTick++
 	u.slowStartTokens--
 	b.outbox.forward(ForwardRequest{Request: r.id, Upstream: u.ID, Timeout: b.attemptTimeout(r)})
 }
 
-// attemptTimeout is the time-out of an attempt that begins now, 0 for as long as the client waits.
+// attemptTimeout returns the timeout of an attempt that starts now. It is 0 if the attempt may take until the
+// client gives up.
 func (b *Balancer) attemptTimeout(r *request) Millis {
 	if r.usefulUntil >= r.expiresAt {
 		return 0
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -1,18 +1,20 @@
 package balance
 
-// Selection of an upstream: the less loaded of two random ones of a zone class.
+// Selection of an upstream: the less loaded of two random upstreams of a zone class.
 
-// loadReportLifetime is how long a load report is of use.
+// loadReportLifetime is the age up to which a load report is used.
 const loadReportLifetime Millis = 10000
 
-// loadRounding lets upstreams of the mean load pass for all rounding errors.
-const loadRounding = 1.0001
+// loadTolerance is a factor on the mean load. It keeps rounding errors from dropping upstreams that have
+// exactly the mean load.
+const loadTolerance = 1.0001
 
-// upstreamFilter says which upstreams come into question.
+// upstreamFilter reports whether an upstream may be selected.
 type upstreamFilter func(*Balancer, *upstream) bool
 
-// selectUpstream chooses an upstream for a request, or nil if there is none. If all look bad, the upstreams
-// are not the cause, and any that is available will do.
+// selectUpstream returns the upstream for the next attempt of a request, or nil if there is none. If no
+// upstream is usable, it selects among all that are available, because the upstreams are not the cause when
+// all of them seem to fail.
 func (b *Balancer) selectUpstream(r *request) *upstream {
 	if u := b.probeReenabled(r); u != nil {
 		return u
@@ -32,12 +34,12 @@
 }
 
 // probeReenabled returns an upstream that operators have enabled again and that has not got a request since,
-// or nil. By its load it would get none before it is warm.
+// or nil if there is none. Selected by load alone, the upstream would get no request until it is warm.
 func (b *Balancer) probeReenabled(r *request) *upstream {
 	for i := range b.endpoints.reenabled {
 		e := &b.endpoints.reenabled[i]
 		u := b.endpoints.byID[e.id]
-		if !e.probed && u != nil && b.usable(u) && b.mayRepeatAt(r, u) {
+		if !e.probed && u != nil && b.usable(u) && b.mayRetryAt(r, u) {
 			e.probed = true
 			return u
 		}
@@ -45,14 +47,15 @@
 	return nil
 }
 
-// candidate is an upstream that a request may go to now.
+// candidate is an upstream that may get the next attempt of a request.
 type candidate struct {
 	upstream *upstream
-	load     float64
+	load     float64 // as returned by loadOf
 }
 
-// lessLoadedOfTwo takes, of two random upstreams of a zone class, the one with less load. Where none of the
-// subset of this instance will do, all upstreams of the zone class come into question.
+// lessLoadedOfTwo returns the less loaded of two random upstreams of a zone class, or nil if there is none.
+// It selects among the subset of this instance or, if none of the subset is eligible, among all upstreams of
+// the zone class.
 func (b *Balancer) lessLoadedOfTwo(r *request, zone int, eligible upstreamFilter) *upstream {
 	b.collectCandidates(r, zone, b.zones[zone].subset, eligible)
 	if len(b.candidates) == 0 {
@@ -74,22 +77,22 @@
 	return b.lessLoaded(&b.candidates[first], &b.candidates[second])
 }
 
-// collectCandidates gathers the upstreams that a request may go to now.
+// collectCandidates sets the candidates for the next attempt of a request.
 func (b *Balancer) collectCandidates(r *request, zone int, from []*upstream, eligible upstreamFilter) {
 	found := b.candidates[:0]
 	for _, u := range from {
 		if b.zoneClassOf(u) != zone || !eligible(b, u) {
 			continue
 		}
-		if !r.triedAt(u) && b.mayRepeatAt(r, u) && b.slowStartAllows(u) {
+		if !r.triedAt(u) && b.mayRetryAt(r, u) && b.slowStartAllows(u) {
 			found = append(found, candidate{upstream: u, load: b.loadOf(u)})
 		}
 	}
 	b.candidates = found
 }
 
-// dropAboveMeanLoad leaves among the candidates only those at or under their mean load. Two random choices
-// alone let the fullest of a few upstreams run far above the mean.
+// dropAboveMeanLoad drops the candidates whose load is above the mean. With two random choices alone, the
+// load of the most loaded of a few upstreams would be far above the mean.
 func (b *Balancer) dropAboveMeanLoad() {
 	sum := 0.0
 	for i := range b.candidates {
@@ -98,15 +101,15 @@
 	mean := sum / float64(len(b.candidates))
 	kept := b.candidates[:0]
 	for _, c := range b.candidates {
-		if c.load <= mean*loadRounding {
+		if c.load <= mean*loadTolerance {
 			kept = append(kept, c)
 		}
 	}
 	b.candidates = kept
 }
 
-// lessLoaded returns the one of two upstreams with less load, by load reports where the loads are equal, else
-// the first.
+// lessLoaded returns the less loaded of two candidates. If their loads are equal, the load reports decide,
+// and without a difference in those the first one is returned.
 func (b *Balancer) lessLoaded(first, second *candidate) *upstream {
 	equal := second.load == first.load
 	if second.load < first.load || equal && b.reportsLessLoad(second.upstream, first.upstream) {
@@ -115,15 +118,16 @@
 	return first.upstream
 }
 
-// reportsLessLoad reports whether x has recently reported fewer requests in flight than y. An instance with
-// little traffic has nothing in flight at most upstreams.
+// reportsLessLoad reports whether x has recently reported fewer requests in flight than y. The reports are
+// needed because an instance with little traffic has no attempts in flight at most upstreams.
 func (b *Balancer) reportsLessLoad(x, y *upstream) bool {
 	older := min(x.reportedAt, y.reportedAt)
 	return x.reportedInFlight < y.reportedInFlight && b.now-older < loadReportLifetime
 }
 
-// loadOf is what is compared: the attempts of this instance in flight, in relation to the capacity of an
-// upstream that is warming up. Consecutive failures count too: an upstream that fails fast looks idle.
+// loadOf returns the load by which upstreams are compared: the attempts of this instance in flight, divided
+// by the warm fraction of the upstream. Consecutive failures add to the load, because an upstream that fails
+// fast has few attempts in flight.
 func (b *Balancer) loadOf(u *upstream) float64 {
 	return (float64(u.inFlight+1) + loadPerFailure*u.consecutiveFailures) / b.warmFraction(u)
 }
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -1,7 +1,7 @@
 package balance
 
-// applySettings replaces the settings. What was counted under the number of a class that is removed, or that
-// is another one now, is dropped; all else that was learned stays.
+// applySettings replaces the settings. Counts of a class that is removed, or whose index is used for another
+// class, are dropped. All else that was learned is kept.
 func (b *Balancer) applySettings(cfg *Config) {
 	before := b.settings
 	b.settings = cfg
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -1,33 +1,36 @@
 package balance
 
-// Slow start: how much an upstream that has just started may be sent.
+// Slow start: the limit on attempts to an upstream that has just started.
 
 const (
-	warmRateDecay   = 2000.0 // ms: the time constant of a falling rate, and the first period of averaging
-	minWarmFraction = 0.01   // of its capacity that an upstream has
+	// warmRateTimeConstant is the time constant, in ms, of a falling warm rate. The rate of the first
+	// measurements is an arithmetic mean over this time.
+	warmRateTimeConstant = 2000.0
+	minWarmFraction      = 0.01 // lower bound of the warm fraction of an upstream
 )
 
-// slowStartRate is what warm upstreams get, which the budgets of those that are warming up are refilled by.
+// slowStartRate measures the rate of attempts at warm upstreams, by which the slow start tokens are refilled.
 type slowStartRate struct {
-	warmRate    float64 // sends of this instance to one warm upstream, per millisecond
-	measuredFor Millis
+	warmRate    float64 // attempts per ms from this instance to one warm upstream
+	measuredFor Millis  // total time of the measurements
 }
 
-// update enters the rate that a warm upstream got since the last tick. The rate rises slowly, since warm
-// upstreams take more in a burst than those that are warming up, and falls sooner.
+// update adds the rate of attempts at a warm upstream since the last tick. The mean rises slowly, because
+// warm upstreams withstand larger bursts than those that are warming up. It falls faster than it rises.
 func (s *slowStartRate) update(rate float64, elapsed, slowStartDuration Millis) {
 	s.measuredFor += elapsed
-	timeConstant := warmRateDecay
+	timeConstant := warmRateTimeConstant
 	switch {
-	case s.measuredFor < warmRateDecay: // the first measure is a mean
+	case s.measuredFor < warmRateTimeConstant: // the first measurements: arithmetic mean
 		timeConstant = s.measuredFor
 	case rate > s.warmRate:
-		timeConstant = max(warmRateDecay, slowStartDuration)
+		timeConstant = max(warmRateTimeConstant, slowStartDuration)
 	}
 	s.warmRate += (rate - s.warmRate) * min(1, elapsed/timeConstant)
 }
 
-// warmFraction is the share of its capacity that an upstream has at the least.
+// warmFraction returns the fraction of its capacity that an upstream has at least: 1 when it is warm, and
+// less while it is warming up.
 func (b *Balancer) warmFraction(u *upstream) float64 {
 	age := b.now - u.StartedAt
 	duration := b.settings.SlowStartDuration
@@ -38,15 +41,16 @@
 	return max(minWarmFraction, initial+(1-initial)*max(0, age)/duration)
 }
 
-// slowStartAllows reports whether an upstream that is warming up has budget for one more send. Each instance
-// sends it no more than its warm share of what it sends a warm one, so that all instances together stay far
-// under the multiple at which it fails.
+// slowStartAllows reports whether an upstream is warm or has a slow start token for one more attempt. Each
+// instance sends to an upstream that is warming up at most its warm fraction of what it sends to a warm one.
+// All instances together thus stay far below OverloadMultiple, at which the upstream fails.
 func (b *Balancer) slowStartAllows(u *upstream) bool {
 	return u.slowStartTokens >= 1 || b.warmFraction(u) == 1
 }
 
-// refillSlowStart measures what a warm upstream gets, and refills the budgets by it, to one send at the most.
-// Without any measure all instances together send one request in OverloadDuration.
+// refillSlowStart measures the rate of attempts at warm upstreams and refills the slow start tokens at that
+// rate, up to one token per upstream. The rate is at least one attempt per OverloadDuration over all
+// replicas, so that it is not 0 without any measurement.
 func (b *Balancer) refillSlowStart(elapsed Millis) {
 	b.measureWarmRate(elapsed)
 	rate := max(b.slowStart.warmRate, 1/(max(1, b.settings.OverloadDuration)*b.replicas()))
@@ -56,16 +60,16 @@
 }
 
 func (b *Balancer) measureWarmRate(elapsed Millis) {
-	sends := 0.0
+	attempts := 0.0
 	warm := 0.0
 	for _, u := range b.endpoints.ordered {
 		if b.usable(u) && b.warmFraction(u) == 1 {
-			sends += u.sendsSinceTick
+			attempts += u.attemptsSinceTick
 			warm++
 		}
-		u.sendsSinceTick = 0
+		u.attemptsSinceTick = 0
 	}
 	if warm > 0 && elapsed > 0 {
-		b.slowStart.update(sends/warm/elapsed, elapsed, b.settings.SlowStartDuration)
+		b.slowStart.update(attempts/warm/elapsed, elapsed, b.settings.SlowStartDuration)
 	}
 }
--- a/balance/spillover.go
+++ b/balance/spillover.go
@@ -1,41 +1,41 @@
 package balance
 
-// Spillover: the share of traffic that goes to other zones, since they serve better.
+// Spillover: the fraction of the requests that go to remote zones because these serve better.
 
 const (
-	spilloverInterval    = 1000.0 // ms between steps
-	spilloverStep        = 0.1    // of the traffic: small, since all instances of a zone may move at once
-	probeFraction        = 0.02   // of the traffic goes to the zone class out of favour, to learn of it
-	minLocalOutcomes     = 10     // needed for a comparison
-	minRemoteOutcomes    = 2
-	slowdownThreshold    = 1.25 // local zone slower than remote ones by this factor
-	successRateThreshold = 0.9  // success rate of the local zone below this much of the remote ones'
+	spilloverInterval    = 1000.0 // ms between two adjustments of the fraction
+	spilloverStep        = 0.1    // change per adjustment: small, as all instances of a zone adjust together
+	probeFraction        = 0.02   // minimum fraction of requests for each zone class, to measure it
+	minLocalOutcomes     = 10     // outcomes from the local zone that a comparison needs
+	minRemoteOutcomes    = 2      // outcomes from remote zones that a comparison needs
+	slowdownThreshold    = 1.25   // ratio of local to remote slowdown above which the fraction rises
+	successRateThreshold = 0.9    // ratio of local to remote success rate below which the fraction rises
 )
 
-// zoneSpillover is how much traffic goes to other zones.
+// zoneSpillover is the state of the spillover.
 type zoneSpillover struct {
-	fraction float64
-	nextStep Millis
+	fraction float64 // fraction of the requests that are sent to remote zones first
+	nextStep Millis  // time of the next adjustment
 }
 
-// adjustSpillover moves the share of traffic that goes to other zones by one step.
+// adjustSpillover moves the fraction of requests that go to remote zones by one step.
 func (b *Balancer) adjustSpillover() {
 	b.spillover.nextStep = b.now + spilloverInterval
-	own, other := &b.zones[localZone], &b.zones[remoteZones]
-	if other.successRate.n < minRemoteOutcomes || own.successRate.n < minLocalOutcomes {
+	local, remote := &b.zones[localZone], &b.zones[remoteZones]
+	if remote.successRate.n < minRemoteOutcomes || local.successRate.n < minLocalOutcomes {
 		return
 	}
-	slower := own.slowdown.value > slowdownThreshold*other.slowdown.value
-	servesLess := own.successRate.value < successRateThreshold*other.successRate.value
-	if slower || servesLess {
+	slower := local.slowdown.value > slowdownThreshold*remote.slowdown.value
+	lessReliable := local.successRate.value < successRateThreshold*remote.successRate.value
+	if slower || lessReliable {
 		b.spillover.fraction = min(1-probeFraction, b.spillover.fraction+spilloverStep)
 	} else {
 		b.spillover.fraction = max(0, b.spillover.fraction-spilloverStep)
 	}
 }
 
-// preferredZone draws the zone class that a request goes to. If that has no capacity, the other one takes the
-// request.
+// preferredZone returns the zone class for a request, chosen at random by the spillover fraction. If that one
+// has no capacity and the other one has, it returns the other one.
 func (b *Balancer) preferredZone(r *request) int {
 	first := localZone
 	if b.rng.Float64() < max(probeFraction, b.spillover.fraction) {
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -1,25 +1,26 @@
 package balance
 
-// Subsetting: an instance with few requests in flight works with a subset of each zone class only. Spread
-// over all of a large fleet, its own requests in flight would say nothing of the load, and connections
-// would close before they are used again.
+// Subsetting: an instance with few requests in flight uses only a subset of each zone class. If it used all
+// upstreams of a large fleet, its own requests in flight would say nothing about their load, and idle
+// connections would be closed before they are used again.
 
 import "math"
 
 const (
-	minSubset = 3.0  // upstreams: two to choose from when one is ejected
-	peakDecay = 0.97 // of the peak in flight, at each tick: a time constant of 3.3 s
+	minSubset = 3.0  // minimum size, so that there are two upstreams to choose from when one is ejected
+	peakDecay = 0.97 // factor on peakInFlight at each tick, for a time constant of 3.3 s
 )
 
-// subsetSelection is what the selection of the subsets works with.
+// subsetSelection is the state from which the subsets are selected.
 type subsetSelection struct {
-	peakInFlight float64                  // the most attempts in flight recently
-	rings        [zoneClasses][]*upstream // the upstreams of each zone class; memory that is reused
+	peakInFlight float64                  // decaying maximum of the attempts in flight
+	rings        [zoneClasses][]*upstream // upstreams of each zone class; the memory is reused
 }
 
-// selectSubsets takes, for each zone class, as many usable upstreams as this instance has had attempts in
-// flight at once recently. All instances take them from the same ring of upstreams; the starts of instances
-// that follow each other lie by the golden ratio apart, so that any number of them is spread evenly.
+// selectSubsets selects a subset of each zone class. It has as many usable upstreams as this instance
+// recently had attempts in flight at once. All instances select from the same ring of upstreams, each from
+// its own start. From one instance to the next the start moves on by the golden ratio of the ring, which
+// spreads the starts of any number of instances evenly.
 func (b *Balancer) selectSubsets() {
 	b.subset.peakInFlight = max(b.subset.peakInFlight*peakDecay, float64(b.inFlight()))
 	target := max(minSubset, b.subset.peakInFlight)
@@ -30,7 +31,8 @@
 	}
 }
 
-// updateRings sorts the upstreams that are not removed by their zone classes.
+// updateRings assigns the upstreams that are not removed to the rings of their zone classes, sorted by sort
+// key.
 func (b *Balancer) updateRings() {
 	rings := &b.subset.rings
 	for zone := range rings {
@@ -44,9 +46,9 @@
 	}
 }
 
-// selectSubset takes upstreams from the ring of a zone class until they add up to the target, in units of
-// warm ones. It begins at a fraction of the ring. Upstreams that fail, drain or are warming up are made up
-// for.
+// selectSubset selects consecutive upstreams from the ring of a zone class, from startFraction of the ring
+// on, until the sum of their warm fractions reaches target. Upstreams that are ejected, draining or warming
+// up are thus compensated by additional ones.
 func (b *Balancer) selectSubset(zone int, target, startFraction float64) {
 	ring := b.subset.rings[zone]
 	first := int(startFraction * float64(len(ring)))
--- a/balance/tenants.go
+++ b/balance/tenants.go
@@ -1,6 +1,6 @@
 package balance
 
-// Quotas of tenants: what is beyond a quota loses a part of its priority weight.
+// Tenant quotas: a request over the quota of its tenant loses part of its priority weight.
 
 const millisPerSecond = 1000
 
@@ -9,7 +9,7 @@
 	tokens []float64
 }
 
-// resize fills the buckets anew if the number of tenants has changed.
+// resize replaces all token buckets by full ones if the number of tenants has changed.
 func (q *tenantQuotas) resize(cfg *Config) {
 	if len(cfg.TenantQuota) == len(q.tokens) {
 		return
@@ -20,8 +20,8 @@
 	}
 }
 
-// tenantWeightFactor takes a token for a tenant's next request, and returns the share of its weight that the
-// request keeps.
+// tenantWeightFactor takes a token for a request of a tenant. It returns the fraction of its priority weight
+// that the request keeps: OverQuotaWeight if there is no token left, else 1.
 func (b *Balancer) tenantWeightFactor(tenant int) float64 {
 	tokens := b.tenants.tokens
 	if tenant >= len(tokens) || b.settings.TenantQuota[tenant] <= 0 {
@@ -34,7 +34,8 @@
 	return 1
 }
 
-// refillTenantTokens lets each tenant's tokens grow to at most one second's worth.
+// refillTenantTokens refills each token bucket to at most the tokens of one second, or one token if that is
+// more.
 func (b *Balancer) refillTenantTokens(elapsed Millis) {
 	for tenant, tokens := range b.tenants.tokens {
 		perSecond := b.settings.TenantQuota[tenant] / b.replicas()
--- a/balance/throttle.go
+++ b/balance/throttle.go
@@ -1,18 +1,21 @@
 package balance
 
-// The throttle: which new requests are rejected, by the formula of the design over this instance's own
-// counts.
+// Throttle: adaptive throttling of new requests. From this instance's own counts in the accept window, it
+// rejects the following fraction of the requests, if that is above 0:
+//
+//	(requests - K * accepts) / (requests + 1)
 
 const (
-	firstTierMultiplier   = 1.5  // K of the formula at the first tier: load is shed there, before any work
-	innerTierMultiplier   = 3.0  // K at inner tiers: a rejection there wastes the work above it
-	underutilizedFraction = 0.5  // of the in-flight limit: below it the formula does not reject
-	minWeight             = 1e-3 // keeps ratios of weights finite
-	fullAcceptFraction    = 0.35 // of the latency objective: a response within it is a whole accept
+	firstTierMultiplier   = 1.5  // K at the first tier, where load is shed before any work is done for it
+	innerTierMultiplier   = 3.0  // K at inner tiers, where a rejection wastes the work of the tiers in front
+	underutilizedFraction = 0.5  // fraction of the in-flight limit: with less in flight, nothing is throttled
+	minWeight             = 1e-3 // lower bound of priority weights, which keeps their ratios finite
+	fullAcceptFraction    = 0.35 // fraction of the latency objective: an earlier response is a full accept
 )
 
-// throttled decides whether to reject a new request. The formula gives the share of all requests to reject.
-// The lowest weights bear that volume first: the odds of a rejection fall with the square of the weight.
+// throttled reports whether to reject a new request. The formula gives the total number of requests to
+// reject. Requests of the lowest weights are rejected first, because the probability of a rejection is
+// inversely proportional to the square of the weight.
 func (b *Balancer) throttled(r *request) bool {
 	if b.window.total.requests < minRequests || b.underutilized() {
 		return false
@@ -22,10 +25,10 @@
 		return false
 	}
 	weight := max(minWeight, r.weight)
-	return b.rng.Float64()*weight*weight < b.rejectionOdds(volume)
+	return b.rng.Float64()*weight*weight < b.rejectionFactor(volume)
 }
 
-// rejectionVolume is how many requests of a window should be rejected.
+// rejectionVolume returns how many of the requests in a window have to be rejected.
 func (b *Balancer) rejectionVolume() float64 {
 	multiplier := firstTierMultiplier
 	if b.settings.Tier > 0 {
@@ -35,39 +38,42 @@
 	return (total.requests - multiplier*total.accepts) * total.requests / (total.requests + 1)
 }
 
-// rejectionOdds returns the odds for a request of weight 1 by which all classes together bear the volume.
-// They are raised until the classes that are not yet rejected as a whole bear what the others leave.
-func (b *Balancer) rejectionOdds(volume float64) float64 {
-	odds := 0.0
+// rejectionFactor returns the factor for which the given volume of requests is rejected, over all classes,
+// when a request is rejected with the probability factor / (weight * weight), at most 1. Each iteration
+// raises the factor, because the classes that are already rejected completely leave the rest of the volume to
+// the others.
+func (b *Balancer) rejectionFactor(volume float64) float64 {
+	factor := 0.0
 	for range b.window.byClass {
 		remaining := volume
-		bearing := 0.0
+		scaledRequests := 0.0
 		for class := range b.window.byClass {
 			weight := max(minWeight, b.settings.Classes[class].PriorityWeight)
 			requests := b.window.byClass[class].requests
-			if odds >= weight*weight {
+			if factor >= weight*weight {
 				remaining -= requests
 			} else {
-				bearing += requests / (weight * weight)
+				scaledRequests += requests / (weight * weight)
 			}
 		}
-		if bearing == 0 || remaining <= 0 {
+		if scaledRequests == 0 || remaining <= 0 {
 			break
 		}
-		odds = remaining / bearing
+		factor = remaining / scaledRequests
 	}
-	return odds
+	return factor
 }
 
-// underutilized reports whether at least half of the in-flight limit is unused. The formula is overruled
-// then: once few requests are accepted it lets too few through to learn that the upstreams have recovered.
+// underutilized reports whether more than half of the in-flight limit is unused. The formula is not applied
+// then: with few accepts it admits too few requests to detect that the upstreams have recovered.
 func (b *Balancer) underutilized() bool {
 	return float64(b.inFlight()) < underutilizedFraction*b.totalCapacity()
 }
 
-// countOutcome counts the outcome of an attempt in the window, and moves the in-flight limit by it.
+// countOutcome counts the outcome of an attempt in the accept window, and adjusts the concurrency limit by
+// it.
 func (b *Balancer) countOutcome(r *request, a *attempt, outcome Outcome, elapsed Millis) {
-	if outcome >= Cancelled { // says nothing of the upstreams
+	if outcome >= Cancelled { // says nothing about the upstreams
 		return
 	}
 	accept := 0.0
@@ -75,16 +81,17 @@
 		accept = b.acceptFraction(r)
 	}
 	if accept == 0 && r.usefulUntil-a.sentAt < b.serviceTimes.byClass[r.class].value {
-		return // it began with too little time left to say anything of the upstreams
+		return // the attempt had too little time left to say anything about the upstreams
 	}
 	b.window.count(r.class, accept)
 	ratio := min(1, elapsed/r.classRules().LatencyObjective)
 	b.updateLimitByOutcome(b.zoneOf(a.upstream), outcome, ratio)
 }
 
-// acceptFraction is how far a response now counts as an accept: late ones count nothing, and those close to
-// late count in part, since the queue they came from makes the next ones late. Inner tiers don't know the
-// latency objective.
+// acceptFraction returns the accept, from 0 to 1, that a response to a request counts as if it arrives now. A
+// late response counts as 0. One that is almost late counts in part, because the queue that delayed it makes
+// the next responses late. Inner tiers do not know the latency objective, so every response counts as 1
+// there.
 func (b *Balancer) acceptFraction(r *request) float64 {
 	if b.settings.Tier > 0 {
 		return 1
--- a/balance/window.go
+++ b/balance/window.go
@@ -1,26 +1,27 @@
 package balance
 
-// The window of recent requests that the throttle and the retry budget work by.
+// Accept window: the sliding window of finished requests on which the throttle and the retry budget are
+// based.
 
 const (
-	bucketCount              = 6 // a window of 3 s, and of 30 s at most with little traffic
+	bucketCount              = 6 // gives a window of 3 s, or of up to 30 s with little traffic
 	bucketDuration    Millis = 500
-	maxBucketDuration Millis = 5000 // a bucket stays open for so long while the window holds too few requests
-	minRequests              = 20   // finished requests below which a share of accepts says nothing
+	maxBucketDuration Millis = 5000 // longest time that a bucket stays open if requests are too few
+	minRequests              = 20   // finished requests needed for a meaningful ratio of accepts
 )
 
-// windowCount is what finished in one bucket, or in the whole window.
+// windowCount counts the finished requests of one bucket or of the whole window.
 type windowCount struct {
 	requests float64
-	accepts  float64
+	accepts  float64 // sum of the accept fractions of the requests
 }
 
-// acceptWindow counts finished requests and those of them that were accepted, over a sliding window.
+// acceptWindow counts finished requests, and how far they were accepted, over a sliding window.
 type acceptWindow struct {
-	buckets     [bucketCount][]windowCount // by class
-	byClass     []windowCount              // over the window
-	total       windowCount                // over the window
-	current     int                        // number of the bucket that is counted in
+	buckets     [bucketCount][]windowCount // each indexed by class
+	byClass     []windowCount              // sums over the buckets, indexed by class
+	total       windowCount                // sum over the buckets and classes
+	current     int                        // index of the bucket that counts requests now
 	bucketStart Millis
 	bucketEnd   Millis
 }
@@ -29,7 +30,7 @@
 	return acceptWindow{bucketStart: now, bucketEnd: now + bucketDuration}
 }
 
-// count enters one finished request and the share of an accept that it is.
+// count counts one finished request and its accept, from 0 to 1.
 func (w *acceptWindow) count(class uint8, accept float64) {
 	bucket := &w.buckets[w.current][class]
 	for _, c := range [...]*windowCount{bucket, &w.byClass[class], &w.total} {
@@ -38,8 +39,8 @@
 	}
 }
 
-// closeBucket ends the current bucket and drops the oldest, whose place is the current one then. It reports
-// false if the current bucket stays open for another bucketDuration.
+// closeBucket closes the current bucket. It drops the oldest bucket, which becomes the current one. It
+// returns false if the current bucket stays open for another bucketDuration instead.
 func (w *acceptWindow) closeBucket() bool {
 	next := (w.current + 1) % bucketCount
 	staysOpen := w.staysOpen(next)
@@ -58,8 +59,9 @@
 	return true
 }
 
-// staysOpen reports whether the current bucket stays open, since the window would hold too few requests
-// without its oldest bucket. An instance with little traffic would else never have what the formula needs.
+// staysOpen reports whether the current bucket stays open, because the window without its oldest bucket would
+// hold too few requests. Otherwise an instance with little traffic would never have enough requests for the
+// formula.
 func (w *acceptWindow) staysOpen(oldest int) bool {
 	remaining := w.total.requests
 	for _, c := range w.buckets[oldest] {
@@ -75,7 +77,7 @@
 	*c = windowCount{}
 }
 
-// addClasses adds counts for further classes.
+// addClasses adds counts for n more classes.
 func (w *acceptWindow) addClasses(n int) {
 	w.byClass = append(w.byClass, make([]windowCount, n)...)
 	for i := range w.buckets {
@@ -83,7 +85,7 @@
 	}
 }
 
-// resetClass drops what was counted of a class.
+// resetClass drops the counts of a class.
 func (w *acceptWindow) resetClass(class int) {
 	w.total.requests -= w.byClass[class].requests
 	w.total.accepts = max(0, w.total.accepts-w.byClass[class].accepts)
--- a/balance/zone.go
+++ b/balance/zone.go
@@ -1,6 +1,6 @@
 package balance
 
-// The classes of zones: the instance's own zone is the local one, all others are remote.
+// Zone classes: the zone of this instance is the local one, and all other zones are remote.
 
 const (
 	localZone   = 0
@@ -10,19 +10,19 @@
 
 const (
 	zoneOutcomeGain = 0.05 // weight of the newest outcome in the means of a zone class
-	maxSlowdown     = 4.0  // one costly request must not make a zone look slow
+	maxSlowdown     = 4.0  // upper bound, so that one expensive request does not make a zone look slow
 )
 
-// zoneClass is how the upstreams of one class of zones fare.
+// zoneClass is the state of the upstreams of one zone class.
 type zoneClass struct {
-	slowdown         mean // service times, as multiples of the typical one of their class of requests
-	successRate      mean // of attempts
-	inFlight         int
-	inFlightByClass  []int
-	roundingDraw     float64     // between 0 and 1, drawn at each tick: see zoneHasCapacity
-	subset           []*upstream // those that this instance works with
-	warmEquivalents  float64     // its usable upstreams, in units of warm ones
-	limitPerUpstream float64     // attempts in flight for each of the warm equivalents
+	slowdown         mean        // service time as a multiple of the mean for the class of requests
+	successRate      mean        // fraction of the attempts that were served
+	inFlight         int         // attempts of this instance in flight
+	inFlightByClass  []int       // attempts of this instance in flight, indexed by class of requests
+	roundingDraw     float64     // random number in [0, 1), drawn at each tick; see zoneHasCapacity
+	subset           []*upstream // upstreams that this instance uses
+	warmEquivalents  float64     // sum of the warm fractions of its usable upstreams
+	limitPerUpstream float64     // attempts in flight per warm upstream
 }
 
 func (z *zoneClass) addInFlight(class uint8, n int) {
@@ -30,7 +30,7 @@
 	z.inFlightByClass[class] += n
 }
 
-// limit is how many attempts may be in flight.
+// limit returns the number of attempts that may be in flight in the zone class.
 func (z *zoneClass) limit() float64 { return z.limitPerUpstream * z.warmEquivalents }
 
 func (z *zoneClass) recordServed(slowdown float64) {
@@ -40,7 +40,7 @@
 
 func (z *zoneClass) recordNotServed() { z.successRate.add(0, zoneOutcomeGain) }
 
-// zoneClassOf returns the number of the zone class that an upstream belongs to.
+// zoneClassOf returns the index of the zone class of an upstream.
 func (b *Balancer) zoneClassOf(u *upstream) int {
 	if u.Zone == b.settings.Zone {
 		return localZone
@@ -50,21 +50,22 @@
 
 func (b *Balancer) zoneOf(u *upstream) *zoneClass { return &b.zones[b.zoneClassOf(u)] }
 
-// inFlight is the number of attempts in flight.
+// inFlight returns the number of attempts in flight.
 func (b *Balancer) inFlight() int { return b.zones[localZone].inFlight + b.zones[remoteZones].inFlight }
 
-// warmEquivalents is what all usable upstreams are worth, in units of warm ones.
+// warmEquivalents returns the sum of the warm fractions of all usable upstreams.
 func (b *Balancer) warmEquivalents() float64 {
 	return b.zones[localZone].warmEquivalents + b.zones[remoteZones].warmEquivalents
 }
 
-// totalCapacity is how many attempts may be in flight at all usable upstreams together, at least one.
+// totalCapacity returns the number of attempts that may be in flight at all usable upstreams together, at
+// least 1.
 func (b *Balancer) totalCapacity() float64 {
 	return max(1, b.zones[localZone].limit()+b.zones[remoteZones].limit())
 }
 
-// updateZoneCapacity sums up what the usable upstreams of each zone class are worth. If none is usable, all
-// that are available count: they may only seem bad.
+// updateZoneCapacity sums the warm fractions of the usable upstreams of each zone class. If no upstream is
+// usable, it counts all available ones, since they may only seem to fail.
 func (b *Balancer) updateZoneCapacity() {
 	b.zones[localZone].warmEquivalents = 0
 	b.zones[remoteZones].warmEquivalents = 0
