--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// serveRequest takes one request through an instance, from its arrival to its answer, with a tick now and then.
+// serveRequest reports the arrival of a request and the success of its first attempt, and every tenth time a tick.
 func serveRequest(b *Balancer, id RequestID, now *Millis) {
 	*now += 10
 	b.OnRequest(*now, &RequestArrived{Request: id, Class: uint8(id % 2), ExpiresIn: 2000})
@@ -18,10 +18,10 @@
 }
 
 func BenchmarkRequest(bm *testing.B) {
-	for _, ups := range []int{10, 150} {
-		bm.Run(fmt.Sprintf("%d upstreams", ups), func(bm *testing.B) {
+	for _, upstreams := range []int{10, 150} {
+		bm.Run(fmt.Sprintf("%d upstreams", upstreams), func(bm *testing.B) {
 			b, now := New(testConfig(), 1, 0), 0.0
-			b.updateEndpoints(EndpointUpdate{Endpoints: testEndpoints(ups), Snapshot: true})
+			b.updateEndpoints(EndpointUpdate{Endpoints: testEndpoints(upstreams), Snapshot: true})
 			bm.ReportAllocs()
 			id := RequestID(0)
 			for bm.Loop() {
@@ -32,7 +32,8 @@
 	}
 }
 
-// The ordinary path does not allocate, and looks at the subset of this instance only.
+// TestOrdinaryPathCost checks that a request without exceptions causes no allocation, and that the selection of its
+// upstream reads only the subset of the instance.
 func TestOrdinaryPathCost(t *testing.T) {
 	b, now, id := New(testConfig(), 1, 0), 0.0, RequestID(0)
 	b.updateEndpoints(EndpointUpdate{Endpoints: testEndpoints(150), Snapshot: true})
@@ -41,15 +42,16 @@
 		serveRequest(b, id, &now)
 	}
 	if n := testing.AllocsPerRun(2000, func() { id++; serveRequest(b, id, &now) }); n > 0 {
-		t.Errorf("%.2f allocations a request", n)
+		t.Errorf("%.2f allocations per request, want 0", n)
 	}
 	b.candidates = make([]candidate, 0, 150)
 	b.selectUpstream(&request{settings: b.settings})
 	if n := len(b.candidates[:cap(b.candidates)]) - countNil(b.candidates[:cap(b.candidates)]); n > int(minSubset) {
-		t.Errorf("a pick has looked at %d upstreams of 150", n)
+		t.Errorf("the selection has read %d of 150 upstreams, want at most the subset", n)
 	}
 }
 
+// countNil returns the number of candidates without an upstream.
 func countNil(list []candidate) (n int) {
 	for _, c := range list {
 		if c.upstream == nil {
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -2,19 +2,20 @@
 
 import "testing"
 
-// A removed endpoint may come without its zone: what is in flight there stays counted where it was.
+// TestRemovedWithoutZone checks that attempts in flight stay counted in the zone class of their upstream if the
+// endpoint is removed by an update without its zone.
 func TestRemovedWithoutZone(t *testing.T) {
 	cfg := testConfig()
 	f := newWarmHost(t, cfg, 8)
-	q := f.submit(0, 1000)
-	if len(q.attempts) != 1 {
-		t.Fatal("not sent")
+	req := f.submit(0, 1000)
+	if len(req.attempts) != 1 {
+		t.Fatal("the request was not forwarded")
 	}
-	f.sendDelta(Endpoint{ID: q.attempts[0].upstream, State: Removed, Zone: cfg.Zone + 1})
-	f.endAttempt(q, 0, OK)
-	for g := range f.b.zones {
-		if n := f.b.zones[g].inFlight; n != 0 {
-			t.Errorf("zone class %d has %d in flight", g, n)
+	f.sendDelta(Endpoint{ID: req.attempts[0].upstream, State: Removed, Zone: cfg.Zone + 1})
+	f.endAttempt(req, 0, OK)
+	for zone := range f.b.zones {
+		if n := f.b.zones[zone].inFlight; n != 0 {
+			t.Errorf("zone class %d has %d attempts in flight, want 0", zone, n)
 		}
 	}
 }
@@ -27,7 +28,7 @@
 	e.StartedAt = f.now
 	f.sendDelta(e)
 	if u.onProbation || f.b.warmFraction(u) > 0.3 {
-		t.Errorf("probation %v, warm share %.2f after a restart", u.onProbation, f.b.warmFraction(u))
+		t.Errorf("on probation %v, warm fraction %.2f after a restart; want no probation and a small warm fraction", u.onProbation, f.b.warmFraction(u))
 	}
 }
 
@@ -35,25 +36,25 @@
 	cfg := testConfig()
 	cfg.PollEndpoints = true
 	b := New(cfg, 1, 0)
-	tracked := func() int { return len(drain[WatchEndpoints](b)) }
-	if tracked() != 1 {
-		t.Fatal("does not watch at its start")
+	watches := func() int { return len(drain[WatchEndpoints](b)) }
+	if watches() != 1 {
+		t.Fatal("the instance does not watch the endpoints when it starts")
 	}
 	b.OnWatchFailed(10)
-	if tracked() != 0 {
-		t.Error("asks again at once")
+	if watches() != 0 {
+		t.Error("the failed watch is repeated at once, want a delay")
 	}
 	b.OnTimer(2000, timerWatch)
-	if tracked() != 1 {
-		t.Error("does not ask again")
+	if watches() != 1 {
+		t.Error("the failed watch is not repeated after the delay")
 	}
 }
 
-// Nothing goes to a disabled upstream, whatever the endpoint list says meanwhile. Enabled again it serves, and is warming up, also
-// where the list still tells its old start.
+// TestDisableAndEnable checks that no request goes to a disabled upstream, whatever the endpoint list reports. When it is
+// enabled again, the upstream gets requests and warms up, even if the list still reports the old start of its process.
 func TestDisableAndEnable(t *testing.T) { //revive:disable-line:function-length table of cases
 	const id = 2
-	at := func(started Millis, n int) []Endpoint {
+	endpointsWithStart := func(started Millis, n int) []Endpoint {
 		list := endpointsInZone(n)
 		if n >= id {
 			list[id-1].StartedAt = started
@@ -61,61 +62,61 @@
 		return list
 	}
 	for _, tt := range []struct {
-		name  string
-		told  [][]Endpoint // snapshots while it is disabled
-		cold  Millis       // the start that is believed when it is enabled
-		after []Endpoint
+		name      string
+		snapshots [][]Endpoint // endpoint updates while the upstream is disabled
+		wantStart Millis       // start time of the upstream after it is enabled
+		after     []Endpoint   // endpoint update after it is enabled
 	}{
-		{"the list says nothing", nil, 100000, nil},
-		{"an old start told again", [][]Endpoint{at(5, 3)}, 100000, at(5, 3)},
-		{"a new process", [][]Endpoint{at(90000, 3)}, 90000, at(90000, 3)},
-		{"gone and back", [][]Endpoint{at(5, 1), at(5, 3)}, 100000, at(5, 3)},
-		{"gone, and back only afterwards", [][]Endpoint{at(5, 1)}, 100000, at(5, 3)},
+		{"no update", nil, 100000, nil},
+		{"an update with the old start", [][]Endpoint{endpointsWithStart(5, 3)}, 100000, endpointsWithStart(5, 3)},
+		{"a new process", [][]Endpoint{endpointsWithStart(90000, 3)}, 90000, endpointsWithStart(90000, 3)},
+		{"removed and added again", [][]Endpoint{endpointsWithStart(5, 1), endpointsWithStart(5, 3)}, 100000, endpointsWithStart(5, 3)},
+		{"removed, and added again after it is enabled", [][]Endpoint{endpointsWithStart(5, 1)}, 100000, endpointsWithStart(5, 3)},
 	} {
 		b := New(testConfig(), 1, 0)
-		b.updateEndpoints(EndpointUpdate{Endpoints: at(5, 3), Snapshot: true})
+		b.updateEndpoints(EndpointUpdate{Endpoints: endpointsWithStart(5, 3), Snapshot: true})
 		if countForwarded(b, 50000, 1, 100)[id] == 0 {
-			t.Fatal("gets nothing before it is disabled")
+			t.Fatal("the upstream gets no requests before it is disabled")
 		}
 		b.OnDisable(60000, id)
-		for i, list := range tt.told {
+		for i, list := range tt.snapshots {
 			b.OnEndpointUpdate(61000+Millis(i), EndpointUpdate{Endpoints: list, Snapshot: true})
 		}
-		b.OnDisable(70000, id) // a call may come again
+		b.OnDisable(70000, id) // a repeated call has no effect
 		if n := countForwarded(b, 70000, 1000, 100)[id]; n != 0 {
-			t.Errorf("%s: %d sends to a disabled upstream", tt.name, n)
+			t.Errorf("%s: %d attempts at a disabled upstream, want 0", tt.name, n)
 		}
 		b.OnEnable(100000, id)
 		if tt.after != nil {
 			b.OnEndpointUpdate(100001, EndpointUpdate{Endpoints: tt.after, Snapshot: true})
 		}
 		u := b.endpoints.byID[id]
-		if u == nil || u.StartedAt != tt.cold || !b.available(u) {
-			t.Errorf("%s: enabled as %+v, want a start at %v", tt.name, u, tt.cold)
+		if u == nil || u.StartedAt != tt.wantStart || !b.available(u) {
+			t.Errorf("%s: the upstream is enabled as %+v, want it available with start time %v", tt.name, u, tt.wantStart)
 		}
 		if n := countForwarded(b, 100100, 2000, 400)[id]; n == 0 {
-			t.Errorf("%s: gets nothing after it was enabled", tt.name)
+			t.Errorf("%s: the upstream gets no requests after it was enabled", tt.name)
 		}
-		b.OnEnable(120000, id) // nothing happens to one that is not disabled
+		b.OnEnable(120000, id) // no effect on an upstream that is not disabled
 		if b.warmFraction(b.endpoints.byID[id]) != 1 {
-			t.Errorf("%s: still warming up", tt.name)
+			t.Errorf("%s: the upstream is still warming up, want it warm", tt.name)
 		}
 	}
 }
 
-// With every upstream disabled a request is rejected at once, and so is one that was queued.
+// TestAllDisabled checks that new and queued requests are rejected at once when all upstreams are disabled.
 func TestAllDisabled(t *testing.T) {
 	b := New(testConfig(), 1, 0)
 	b.updateEndpoints(EndpointUpdate{Endpoints: endpointsInZone(2), Snapshot: true})
-	b.zones[0].limitPerUpstream, b.zones[0].roundingDraw = 0, 1 // no capacity: requests are queued
+	b.zones[0].limitPerUpstream, b.zones[0].roundingDraw = 0, 1 // no capacity, so requests are queued
 	b.OnRequest(10, &RequestArrived{Request: 1, ExpiresIn: 2000})
 	if len(b.queue) != 1 {
-		t.Fatal("the request is not queued")
+		t.Fatal("the request is not queued without capacity")
 	}
 	b.OnDisable(20, 1)
 	b.OnDisable(20, 2)
 	b.OnRequest(30, &RequestArrived{Request: 2, ExpiresIn: 2000})
 	if rejected := len(drain[RejectRequest](b)); rejected != 2 || len(b.queue) != 0 {
-		t.Errorf("%d rejected, %d queued", rejected, len(b.queue))
+		t.Errorf("%d requests are rejected and %d queued, want 2 and 0", rejected, len(b.queue))
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,7 +6,7 @@
 	"salttrack/balance"
 )
 
-// A host tells an instance of a request and of the end of its first attempt, and prints what the instance wants done.
+// The host in this example reports a request and the end of its first attempt, and prints the resulting actions.
 func Example() {
 	b := balance.New(balance.Config{
 		Replicas:          1,
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -1,7 +1,7 @@
 package balance
 
-// newThrottled returns an instance whose window holds the given requests and accepts by class, and whose in-flight limit is
-// used up, so that the formula decides.
+// newThrottled returns an instance whose accept window holds the given numbers of requests and accepts, indexed by class.
+// Its in-flight limit is used up, so that the formula is applied.
 func newThrottled(cfg Config, requests, accepts []float64) *Balancer {
 	b := New(cfg, 1, 0)
 	b.updateEndpoints(EndpointUpdate{Endpoints: testEndpoints(4), Snapshot: true})
@@ -18,7 +18,7 @@
 	return b
 }
 
-// rejectedShare returns the share of a class's requests that the throttle rejects.
+// rejectedShare returns the fraction of the requests of a class that the throttle rejects.
 func rejectedShare(b *Balancer, class uint8) float64 {
 	const n = 4000
 	count := 0.0
@@ -58,7 +58,7 @@
 	return out
 }
 
-// endpointsInZone returns so many endpoints, from id 1 on, all in the zone of the instance.
+// endpointsInZone returns n endpoints with the ids 1 to n, all in the zone of the instance.
 func endpointsInZone(n int) []Endpoint {
 	list := testEndpoints(n)
 	for i := range list {
@@ -67,7 +67,8 @@
 	return list
 }
 
-// countForwarded sends requests through an instance, answers each at once, and counts them by upstream.
+// countForwarded reports n requests to an instance, one every 20 ms, ends their attempts successfully, and counts the
+// attempts by upstream.
 func countForwarded(b *Balancer, from Millis, first RequestID, n int) map[UpstreamID]int {
 	to := map[UpstreamID]int{}
 	for i := range n {
@@ -84,7 +85,7 @@
 	return to
 }
 
-// drain takes all actions that are due, and returns those of one type.
+// drain removes all pending actions and returns those of type T.
 func drain[T any](b *Balancer) (found []T) {
 	for action, more := b.NextAction(); more; action, more = b.NextAction() {
 		if a, ok := any(action).(*T); ok {
@@ -94,14 +95,14 @@
 	return found
 }
 
-// discard takes all actions that are due.
+// discard removes all pending actions.
 func discard(b *Balancer) {
 	for _, more := b.NextAction(); more; {
 		_, more = b.NextAction()
 	}
 }
 
-// forwarded takes all actions that are due, and returns the upstreams that requests are forwarded to.
+// forwarded removes all pending actions and returns the upstreams to which requests are forwarded.
 func forwarded(b *Balancer) (to []UpstreamID) {
 	for _, a := range drain[ForwardRequest](b) {
 		to = append(to, a.Upstream)
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// fakeHost is a host of one instance that draws the outcomes of attempts and their times at random, and checks the
-// rules of the service by what it sees. It is no model of servers.
+// fakeHost is the host of one instance. It draws the outcomes of attempts and their durations at random, and checks that
+// the actions of the instance obey the rules of the service. It does not simulate upstreams.
 type fakeHost struct {
 	t         *testing.T
 	cfg       Config
@@ -20,35 +20,35 @@
 	endpoints map[UpstreamID]*hostEndpoint
 	timers    []hostTimer
 	forwarded int
-	log       []string // every action, for comparing runs
+	log       []string // every action, to compare runs
 }
 
-// hostRequest is what the host knows of a request.
+// hostRequest is the state of a request at the host.
 type hostRequest struct {
 	id        RequestID
 	class     Class
 	expiresAt Millis
-	answered  bool
+	responded bool
 	attempts  []*hostAttempt
 }
 
-// hostAttempt is what the host knows of an attempt.
+// hostAttempt is the state of an attempt at the host.
 type hostAttempt struct {
 	upstream UpstreamID
 	sentAt   Millis
 	endsAt   Millis
 	outcome  Outcome
 	ended    bool
-	neverRan bool // the outcome proved that it never ran
+	neverRan bool // its outcome proves that it was not executed
 }
 
-// hostEndpoint is an endpoint as the host last told of it.
+// hostEndpoint is an endpoint as the host last reported it.
 type hostEndpoint struct {
 	Endpoint
-	unavailableSince Millis // when it was told that it drains or is gone; 0: fit
+	unavailableSince Millis // when it was reported as draining or removed; 0 if it is ready
 }
 
-// hostTimer is a timer that the instance has set.
+// hostTimer is a timer that the instance has set and that has not fired.
 type hostTimer struct {
 	at    Millis
 	timer TimerID
@@ -77,14 +77,14 @@
 		case *RejectRequest:
 			f.reject(a.Request)
 		case *FailRequest:
-			f.answer(a.Request)
+			f.respond(a.Request)
 		case *CancelAttempt:
-			q := f.requests[a.Request]
-			if q == nil || a.Attempt >= len(q.attempts) {
-				f.fail("cancel of an attempt never made: %v", a)
+			req := f.requests[a.Request]
+			if req == nil || a.Attempt >= len(req.attempts) {
+				f.fail("cancels an attempt that was never sent: %v", a)
 			}
-			if tr := q.attempts[a.Attempt]; !tr.ended {
-				tr.endsAt, tr.outcome = f.now, Cancelled
+			if attempt := req.attempts[a.Attempt]; !attempt.ended {
+				attempt.endsAt, attempt.outcome = f.now, Cancelled
 			}
 		case *SetTimer:
 			f.timers = append(f.timers, hostTimer{f.now + max(a.After, f.cfg.Granularity), a.Timer})
@@ -92,16 +92,16 @@
 	}
 }
 
-func (q *hostRequest) firstMayHaveRun() (*hostAttempt, bool) {
-	for _, tr := range q.attempts {
-		if !tr.neverRan {
-			return tr, true
+func (req *hostRequest) firstMayHaveRun() (*hostAttempt, bool) {
+	for _, attempt := range req.attempts {
+		if !attempt.neverRan {
+			return attempt, true
 		}
 	}
 	return nil, false
 }
 
-// forward checks the rules on an attempt that the instance wants sent, and draws how it ends.
+// forward checks that an attempt obeys the rules, and draws its outcome and its end.
 func (f *fakeHost) forward(a *ForwardRequest) {
 	f.forwarded++
 	r, u := f.requests[a.Request], f.endpoints[a.Upstream]
@@ -116,19 +116,19 @@
 	r.attempts = append(r.attempts, attempt)
 }
 
-// checkForward checks that a request is in progress and its upstream may be used.
+// checkForward checks that a request may get another attempt now and that its upstream may be used.
 func (f *fakeHost) checkForward(a *ForwardRequest, r *hostRequest, u *hostEndpoint) {
 	switch {
-	case r == nil || r.answered:
-		f.fail("forward for a request that is answered: %v", a)
+	case r == nil || r.responded:
+		f.fail("forwards a request that already has its response: %v", a)
 	case u == nil:
-		f.fail("forward to an unknown upstream: %v", a)
+		f.fail("forwards to an unknown upstream: %v", a)
 	case u.unavailableSince > 0:
-		f.fail("forward to an upstream draining or removed since %.0f", u.unavailableSince)
+		f.fail("forwards to an upstream that is draining or removed since %.0f", u.unavailableSince)
 	case f.now >= r.expiresAt:
-		f.fail("forward after the client's deadline")
+		f.fail("forwards a request after the client's deadline")
 	case len(r.attempts) >= f.cfg.MaxAttempts:
-		f.fail("attempt %d of at most %d", len(r.attempts)+1, f.cfg.MaxAttempts)
+		f.fail("sends attempt %d of a request, at most %d are allowed", len(r.attempts)+1, f.cfg.MaxAttempts)
 	}
 	for _, earlier := range r.attempts {
 		if !earlier.ended && !f.cfg.Hedging {
@@ -137,7 +137,7 @@
 	}
 }
 
-// checkRepeat checks that a request that may have run may go to an upstream.
+// checkRepeat checks that a request that may have been executed may be sent again to an upstream.
 func (f *fakeHost) checkRepeat(r *hostRequest, u *hostEndpoint) {
 	first, ran := r.firstMayHaveRun()
 	if !ran {
@@ -145,69 +145,69 @@
 	}
 	switch r.class.Idempotency {
 	case NonIdempotent:
-		f.fail("non-idempotent request %d sent again", r.id)
+		f.fail("sends the non-idempotent request %d again", r.id)
 	case WithIdempotencyKey:
 		if f.now > first.sentAt+r.class.DeduplicationWindow {
-			f.fail("request with an idempotency key %d sent again after its window", r.id)
+			f.fail("sends the request %d with an idempotency key again after its deduplication window", r.id)
 		}
-		was := f.endpoints[first.upstream]
-		otherZone := r.class.DeduplicationScope != ScopeAll && was.Zone != u.Zone
-		otherCell := r.class.DeduplicationScope == ScopeCell && was.Cell != u.Cell
+		previous := f.endpoints[first.upstream]
+		otherZone := r.class.DeduplicationScope != ScopeAll && previous.Zone != u.Zone
+		otherCell := r.class.DeduplicationScope == ScopeCell && previous.Cell != u.Cell
 		if otherZone || otherCell {
-			f.fail("request with an idempotency key %d sent again outside its scope", r.id)
+			f.fail("sends the request %d with an idempotency key again outside its deduplication scope", r.id)
 		}
 	}
 }
 
-// drawOutcome draws how and when an attempt ends, at its time-out at the latest.
+// drawOutcome draws the end of an attempt, which is not after limit, and its outcome.
 func (f *fakeHost) drawOutcome(limit Millis) (Millis, Outcome) {
-	how := []Outcome{OK, OK, OK, OK, OK, OK, OK, OK, OK, UpstreamError, Overloaded, ConnectFailed, ConnectionReset, TimedOut}[f.rng.IntN(14)]
+	outcome := []Outcome{OK, OK, OK, OK, OK, OK, OK, OK, OK, UpstreamError, Overloaded, ConnectFailed, ConnectionReset, TimedOut}[f.rng.IntN(14)]
 	at := f.now + 5 + f.rng.Float64()*400
-	if how == TimedOut || at >= limit {
+	if outcome == TimedOut || at >= limit {
 		return limit, TimedOut
 	}
-	return at, how
+	return at, outcome
 }
 
-// reject checks that a request that is rejected may be sent again, and that its answer is allowed.
+// reject checks that a rejected request may safely be sent again, and records its response.
 func (f *fakeHost) reject(id RequestID) {
-	if r := f.requests[id]; r != nil && !r.answered {
+	if r := f.requests[id]; r != nil && !r.responded {
 		_, ran := r.firstMayHaveRun()
 		outsideScope := r.class.Idempotency == WithIdempotencyKey && r.class.DeduplicationScope != ScopeAll
 		if ran && (r.class.Idempotency == NonIdempotent || outsideScope) {
-			f.fail("request %d may have run and was rejected", r.id)
+			f.fail("rejects the request %d, which may have been executed", r.id)
 		}
 	}
-	f.answer(id)
+	f.respond(id)
 }
 
-// answer checks that a final answer is due and in time.
-func (f *fakeHost) answer(id RequestID) {
+// respond checks that a final response is the first one of its request and in time, and records it.
+func (f *fakeHost) respond(id RequestID) {
 	r := f.requests[id]
-	if r == nil || r.answered {
-		f.fail("second answer for request %d", id)
+	if r == nil || r.responded {
+		f.fail("second response to the request %d", id)
 	}
 	if f.now > r.expiresAt+2*f.cfg.Granularity {
-		f.fail("answer for request %d %.0f ms late", r.id, f.now-r.expiresAt)
+		f.fail("response to the request %d is %.0f ms late", r.id, f.now-r.expiresAt)
 	}
-	r.answered = true
+	r.responded = true
 }
 
 func (f *fakeHost) submit(class int, expiresIn Millis) *hostRequest {
-	q := &hostRequest{id: f.nextID, class: f.cfg.Classes[class], expiresAt: f.now + expiresIn}
+	req := &hostRequest{id: f.nextID, class: f.cfg.Classes[class], expiresAt: f.now + expiresIn}
 	f.nextID++
-	f.requests[q.id] = q
-	f.arrivals = append(f.arrivals, q)
-	f.b.OnRequest(f.now, &RequestArrived{Request: q.id, Class: uint8(class), ExpiresIn: expiresIn})
+	f.requests[req.id] = req
+	f.arrivals = append(f.arrivals, req)
+	f.b.OnRequest(f.now, &RequestArrived{Request: req.id, Class: uint8(class), ExpiresIn: expiresIn})
 	f.carryOut()
-	return q
+	return req
 }
 
-// sendSnapshot tells the instance all endpoints.
+// sendSnapshot reports the whole endpoint list to the instance.
 func (f *fakeHost) sendSnapshot(endpoints ...Endpoint) {
-	named := f.noteEndpoints(endpoints)
+	listed := f.noteEndpoints(endpoints)
 	for id, u := range f.endpoints {
-		if !named[id] {
+		if !listed[id] {
 			u.unavailableSince = f.now
 		}
 	}
@@ -215,18 +215,18 @@
 	f.carryOut()
 }
 
-// sendDelta tells the instance some endpoints.
+// sendDelta reports changed endpoints to the instance.
 func (f *fakeHost) sendDelta(endpoints ...Endpoint) {
 	f.noteEndpoints(endpoints)
 	f.b.OnEndpointUpdate(f.now, EndpointUpdate{Endpoints: endpoints})
 	f.carryOut()
 }
 
-// noteEndpoints enters endpoints that the instance is about to be told, and returns their ids.
+// noteEndpoints records endpoints that the host is about to report, and returns their ids.
 func (f *fakeHost) noteEndpoints(endpoints []Endpoint) map[UpstreamID]bool {
-	named := map[UpstreamID]bool{}
+	listed := map[UpstreamID]bool{}
 	for _, e := range endpoints {
-		named[e.ID] = true
+		listed[e.ID] = true
 		u := f.endpoints[e.ID]
 		if u == nil {
 			u = &hostEndpoint{}
@@ -238,22 +238,22 @@
 			u.unavailableSince = f.now
 		}
 	}
-	return named
+	return listed
 }
 
-// endAttempt ends one attempt of a request.
-func (f *fakeHost) endAttempt(q *hostRequest, n int, how Outcome) {
-	tr := q.attempts[n]
-	tr.ended, tr.neverRan = true, how.NeverRan()
-	if how == OK {
-		q.answered = true
+// endAttempt ends the n-th attempt of a request, counted from 0.
+func (f *fakeHost) endAttempt(req *hostRequest, n int, outcome Outcome) {
+	attempt := req.attempts[n]
+	attempt.ended, attempt.neverRan = true, outcome.NeverRan()
+	if outcome == OK {
+		req.responded = true
 	}
-	f.b.OnAttemptEnded(f.now, &AttemptEnded{Request: q.id, Attempt: n, Outcome: how,
-		Elapsed: f.now - tr.sentAt, RequestDone: q.answered})
+	f.b.OnAttemptEnded(f.now, &AttemptEnded{Request: req.id, Attempt: n, Outcome: outcome,
+		Elapsed: f.now - attempt.sentAt, RequestDone: req.responded})
 	f.carryOut()
 }
 
-// step lets the time of one batch of events pass.
+// step advances the clock by Granularity, then fires the timers and ends the attempts that are due.
 func (f *fakeHost) step() {
 	f.now += f.cfg.Granularity
 	due := f.timers
@@ -267,37 +267,37 @@
 		}
 	}
 	kept := f.arrivals[:0]
-	for _, q := range f.arrivals {
+	for _, req := range f.arrivals {
 		open := false
-		for n := 0; n < len(q.attempts); n++ {
-			if tr := q.attempts[n]; !tr.ended && tr.endsAt <= f.now {
-				f.endAttempt(q, n, tr.outcome)
+		for n := 0; n < len(req.attempts); n++ {
+			if attempt := req.attempts[n]; !attempt.ended && attempt.endsAt <= f.now {
+				f.endAttempt(req, n, attempt.outcome)
 			}
 		}
-		for _, tr := range q.attempts {
-			open = open || !tr.ended
+		for _, attempt := range req.attempts {
+			open = open || !attempt.ended
 		}
-		if !q.answered && f.now > q.expiresAt+2*f.cfg.Granularity {
-			f.fail("request %d has had no answer", q.id)
+		if !req.responded && f.now > req.expiresAt+2*f.cfg.Granularity {
+			f.fail("the request %d got no response by its deadline", req.id)
 		}
-		if !q.answered || open {
-			kept = append(kept, q)
+		if !req.responded || open {
+			kept = append(kept, req)
 		} else {
-			delete(f.requests, q.id)
+			delete(f.requests, req.id)
 		}
 	}
 	f.arrivals = kept
 }
 
-// newWarmHost returns a host whose instance has answered enough requests for its counts to mean something.
-func newWarmHost(t *testing.T, cfg Config, ups int) *fakeHost {
+// newWarmHost returns a host whose instance has served enough requests to have meaningful counts.
+func newWarmHost(t *testing.T, cfg Config, upstreams int) *fakeHost {
 	f := newFakeHost(t, cfg, 3)
-	f.sendSnapshot(testEndpoints(ups)...)
+	f.sendSnapshot(testEndpoints(upstreams)...)
 	for range 150 {
-		q := f.submit(0, 2000)
-		if len(q.attempts) > 0 {
+		req := f.submit(0, 2000)
+		if len(req.attempts) > 0 {
 			f.now += 20
-			f.endAttempt(q, 0, OK)
+			f.endAttempt(req, 0, OK)
 		}
 		f.step()
 	}
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -10,45 +10,46 @@
 	}
 	requests, retries := 0, 0
 	for range 200 {
-		q := f.submit(0, 2000)
+		req := f.submit(0, 2000)
 		requests++
-		for n := 0; n < len(q.attempts) && !q.answered; n++ {
-			f.endAttempt(q, n, UpstreamError)
+		for n := 0; n < len(req.attempts) && !req.responded; n++ {
+			f.endAttempt(req, n, UpstreamError)
 			if n > 0 {
 				retries++
 			}
-			if len(q.attempts) > maxAttempts {
-				t.Fatalf("%d attempts for one request", len(q.attempts))
+			if len(req.attempts) > maxAttempts {
+				t.Fatalf("%d attempts of one request, want at most maxAttempts", len(req.attempts))
 			}
 		}
 		f.step()
 	}
 	if retries == 0 || float64(retries) > retryBudgetRatio*float64(requests+retries)+1 {
-		t.Errorf("%d retries for %d requests", retries, requests)
+		t.Errorf("%d retries of %d requests, want some within retryBudgetRatio", retries, requests)
 	}
 }
 
-// The instance right in front of a failure retries; at each tier before it, retries would multiply.
+// TestErrorsOfLaterTiersAreNotRetried checks that only the instance directly in front of a failure retries, because retries
+// at each tier before it would multiply.
 func TestErrorsOfLaterTiersAreNotRetried(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		tiers int
-		after Millis
-		again bool
+		name    string
+		tiers   int
+		elapsed Millis
+		retried bool
 	}{
 		{"last tier", 1, 100, true},
-		{"a later tier, late", 2, 100, false},
-		{"a later tier, at once", 2, 1, true},
+		{"tier before the last, slow error", 2, 100, false},
+		{"tier before the last, immediate error", 2, 1, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := testConfig()
 			cfg.TierCount = tt.tiers
 			f := newWarmHost(t, cfg, 8)
-			q := f.submit(0, 2000)
-			f.now += tt.after
-			f.endAttempt(q, 0, UpstreamError)
-			if again := len(q.attempts) == 2; again != tt.again {
-				t.Errorf("sent again: %v, want %v", again, tt.again)
+			req := f.submit(0, 2000)
+			f.now += tt.elapsed
+			f.endAttempt(req, 0, UpstreamError)
+			if retried := len(req.attempts) == 2; retried != tt.retried {
+				t.Errorf("retried: %v, want %v", retried, tt.retried)
 			}
 		})
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -2,12 +2,13 @@
 
 import "testing"
 
-// playRandomEvents plays a seeded stream of requests, outcomes and endpoint updates.
+// playRandomEvents reports random requests, outcomes and endpoint updates to an instance. The same seed gives the same
+// events.
 func playRandomEvents(t *testing.T, cfg Config, seed uint64) *fakeHost {
 	f := newFakeHost(t, cfg, seed)
 	endpoints := testEndpoints(7)
 	f.sendSnapshot(endpoints...)
-	for range 6000 { // long enough for some hundred sends where most attempts fail and little is let through
+	for range 6000 { // long enough for some hundred attempts even if most of them fail and few requests are admitted
 		for f.rng.Float64() < 0.4 {
 			f.submit(f.rng.IntN(len(cfg.Classes)), []Millis{3, 40, 300, 1000, 3000}[f.rng.IntN(5)])
 		}
@@ -20,7 +21,7 @@
 	return f
 }
 
-// playRandomEvent draws one event, or none.
+// playRandomEvent reports one random event, or none.
 func (f *fakeHost) playRandomEvent(endpoints []Endpoint) {
 	e := &endpoints[f.rng.IntN(len(endpoints))]
 	switch f.rng.IntN(120) {
@@ -54,14 +55,14 @@
 		return
 	}
 	r := f.arrivals[f.rng.IntN(len(f.arrivals))]
-	r.answered = true
+	r.responded = true
 	if f.requests[r.id] == r {
 		f.b.OnRequestConcluded(f.now, r.id)
 		f.carryOut()
 	}
 }
 
-// sendUnknownEvents tells of requests, timers and endpoints that the instance doesn't know. It has to ignore them.
+// sendUnknownEvents reports events of requests, timers and endpoints that the instance does not know and has to ignore.
 func (f *fakeHost) sendUnknownEvents() {
 	f.b.OnAttemptEnded(f.now, &AttemptEnded{Request: f.nextID + 1000, Outcome: OK, RequestDone: true})
 	f.carryOut()
@@ -86,13 +87,13 @@
 		}
 		f := playRandomEvents(t, cfg, seed)
 		if f.forwarded < 200 {
-			t.Errorf("seed %d: only %d attempts sent; the stream tests little", seed, f.forwarded)
+			t.Errorf("seed %d: %d attempts were sent, want at least 200 for a meaningful test", seed, f.forwarded)
 		}
 		if n := len(f.b.requests.byID); n != 0 {
-			t.Errorf("seed %d: %d requests are known after all have ended", seed, n)
+			t.Errorf("seed %d: %d requests are left in byID after all have ended", seed, n)
 		}
 		if n := len(f.b.requests.arrivals); n != 0 {
-			t.Errorf("seed %d: %d requests are open after all have ended", seed, n)
+			t.Errorf("seed %d: %d requests are left in arrivals after all have ended", seed, n)
 		}
 	}
 }
@@ -100,56 +101,56 @@
 func TestSameEventsSameActions(t *testing.T) {
 	a, b := playRandomEvents(t, testConfig(), 5), playRandomEvents(t, testConfig(), 5)
 	if len(a.log) != len(b.log) {
-		t.Fatalf("%d actions, then %d", len(a.log), len(b.log))
+		t.Fatalf("%d actions in the first run, %d in the second", len(a.log), len(b.log))
 	}
 	for i := range a.log {
 		if a.log[i] != b.log[i] {
-			t.Fatalf("action %d: %s, then %s", i, a.log[i], b.log[i])
+			t.Fatalf("action %d: %s in the first run, %s in the second", i, a.log[i], b.log[i])
 		}
 	}
 	if c := playRandomEvents(t, testConfig(), 6); len(c.log) == len(a.log) {
-		t.Error("another seed changes nothing: the comparison tests little")
+		t.Error("another seed gives the same number of actions, so the comparison shows nothing")
 	}
 }
 
 func TestIdempotency(t *testing.T) {
-	const safe, unsafe, zoneKeyed, cellKeyed, allKeyed = 0, 1, 2, 3, 4
+	const idempotent, nonIdempotent, zoneScope, cellScope, allScope = 0, 1, 2, 3, 4
 	tests := []struct {
-		name  string
-		class int
-		how   Outcome
-		after Millis
-		again bool
+		name    string
+		class   int
+		outcome Outcome
+		elapsed Millis
+		retried bool
 	}{
-		{"idempotent after an error", safe, UpstreamError, 50, true},
-		{"idempotent after an overloaded upstream", safe, Overloaded, 50, true},
-		{"non-idempotent after an error", unsafe, UpstreamError, 50, false},
-		{"non-idempotent after a reset", unsafe, ConnectionReset, 50, false},
-		{"non-idempotent after an overloaded upstream", unsafe, Overloaded, 50, true},
-		{"non-idempotent after a failed connect", unsafe, ConnectFailed, 50, true},
-		{"with a key in its window", zoneKeyed, UpstreamError, 50, true},
-		{"with a key after its window", zoneKeyed, UpstreamError, 750, false},
-		{"with a key after its window, never ran", zoneKeyed, Overloaded, 750, true},
-		{"with a key by cell", cellKeyed, ConnectionReset, 50, true},
-		{"with a key by all, in its window", allKeyed, ConnectionReset, 50, true},
-		{"with a key by all, after its window", allKeyed, ConnectionReset, 950, false},
+		{"idempotent after an error", idempotent, UpstreamError, 50, true},
+		{"idempotent after an overloaded upstream", idempotent, Overloaded, 50, true},
+		{"non-idempotent after an error", nonIdempotent, UpstreamError, 50, false},
+		{"non-idempotent after a reset", nonIdempotent, ConnectionReset, 50, false},
+		{"non-idempotent after an overloaded upstream", nonIdempotent, Overloaded, 50, true},
+		{"non-idempotent after a failed connect", nonIdempotent, ConnectFailed, 50, true},
+		{"with a key of zone scope, within its window", zoneScope, UpstreamError, 50, true},
+		{"with a key of zone scope, after its window", zoneScope, UpstreamError, 750, false},
+		{"with a key of zone scope, after its window, not executed", zoneScope, Overloaded, 750, true},
+		{"with a key of cell scope", cellScope, ConnectionReset, 50, true},
+		{"with a key of global scope, within its window", allScope, ConnectionReset, 50, true},
+		{"with a key of global scope, after its window", allScope, ConnectionReset, 950, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.Classes[allKeyed].LatencyObjective = 2000
+			cfg.Classes[allScope].LatencyObjective = 2000
 			f := newWarmHost(t, cfg, 12)
-			q := f.submit(tt.class, 3000)
-			if len(q.attempts) != 1 {
-				t.Fatalf("%d attempts at once", len(q.attempts))
+			req := f.submit(tt.class, 3000)
+			if len(req.attempts) != 1 {
+				t.Fatalf("%d attempts of a new request, want 1", len(req.attempts))
 			}
-			f.now += tt.after
-			f.endAttempt(q, 0, tt.how)
-			if again := len(q.attempts) == 2; again != tt.again {
-				t.Errorf("sent again: %v, want %v", again, tt.again)
+			f.now += tt.elapsed
+			f.endAttempt(req, 0, tt.outcome)
+			if retried := len(req.attempts) == 2; retried != tt.retried {
+				t.Errorf("retried: %v, want %v", retried, tt.retried)
 			}
-			if !tt.again && !q.answered {
-				t.Error("given up without a final answer")
+			if !tt.retried && !req.responded {
+				t.Error("given up without a final response")
 			}
 		})
 	}
@@ -158,15 +159,15 @@
 func TestNoUpstream(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
 		"none":     nil,
-		"gone":     {{ID: 1, State: Removed}},
+		"removed":  {{ID: 1, State: Removed}},
 		"draining": {{ID: 1, State: Draining}, {ID: 2, State: Draining}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFakeHost(t, testConfig(), 1)
 			f.sendSnapshot(list...)
-			q := f.submit(1, 2000)
-			if !q.answered || len(q.attempts) > 0 {
-				t.Errorf("done %v after %d attempts; want a rejection at once", q.answered, len(q.attempts))
+			req := f.submit(1, 2000)
+			if !req.responded || len(req.attempts) > 0 {
+				t.Errorf("has its response: %v, after %d attempts; want a rejection without any attempt", req.responded, len(req.attempts))
 			}
 		})
 	}
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -7,39 +7,39 @@
 	"testing"
 )
 
-// Each instance keeps to the warm share of what a warm upstream gets.
+// TestWarmingUpstreamGetsItsShare checks that a warming upstream gets at most its warm fraction of what a warm one gets.
 func TestWarmingUpstreamGetsItsShare(t *testing.T) {
 	cfg := testConfig()
 	f := newWarmHost(t, cfg, 6)
 	all := testEndpoints(6)
 	all[0].StartedAt = f.now
 	f.sendDelta(all[0])
-	sends := map[UpstreamID]int{}
+	attempts := map[UpstreamID]int{}
 	for range 300 {
-		q := f.submit(0, 2000)
-		for _, tr := range q.attempts {
-			sends[tr.upstream]++
+		req := f.submit(0, 2000)
+		for _, attempt := range req.attempts {
+			attempts[attempt.upstream]++
 		}
-		if len(q.attempts) > 0 {
-			f.endAttempt(q, 0, OK)
+		if len(req.attempts) > 0 {
+			f.endAttempt(req, 0, OK)
 		}
 		f.step()
 	}
-	warm := float64(sends[all[2].ID]+sends[all[4].ID]) / 2
-	if got := float64(sends[all[0].ID]); got > warm*0.4+2 || warm < 50 {
-		t.Errorf("%v sends to the warming upstream, %v to a warm one", got, warm)
+	warm := float64(attempts[all[2].ID]+attempts[all[4].ID]) / 2
+	if got := float64(attempts[all[0].ID]); got > warm*0.4+2 || warm < 50 {
+		t.Errorf("%v attempts at the warming upstream, %v at a warm one; want at most 0.4 times as many, and at least 50 at the warm one", got, warm)
 	}
 }
 
-// burstFleet is a number of instances in front of the same upstreams, each of which gets the same traffic.
+// burstFleet is a set of instances that share the same upstreams and get equal traffic.
 type burstFleet struct {
-	cfg   Config
-	hosts []*fakeHost
-	sends map[UpstreamID]int
+	cfg      Config
+	hosts    []*fakeHost
+	attempts map[UpstreamID]int
 }
 
 func newBurstFleet(t *testing.T, instances int, seed uint64, endpoints []Endpoint) *burstFleet {
-	f := &burstFleet{cfg: testConfig(), sends: map[UpstreamID]int{}}
+	f := &burstFleet{cfg: testConfig(), attempts: map[UpstreamID]int{}}
 	f.cfg.Replicas = instances
 	for i := range instances {
 		f.cfg.Instance = i
@@ -50,9 +50,9 @@
 	return f
 }
 
-// play sends so many requests a second through each instance, and a burst at once first.
+// play reports rate requests per second to each instance for the given time in ms, after a burst of requests at once.
 func (f *burstFleet) play(ms Millis, rate float64, burst int) {
-	clear(f.sends)
+	clear(f.attempts)
 	for end := f.hosts[0].now + ms; f.hosts[0].now < end; burst = 0 {
 		for _, host := range f.hosts {
 			n := burst
@@ -62,20 +62,21 @@
 			for range n {
 				host.submit(0, 2000)
 			}
-			host.answerNewAttempts(f.sends)
+			host.completeNewAttempts(f.attempts)
 			host.step()
 		}
 	}
 }
 
-// answerNewAttempts counts the attempts that were sent now, and lets those that take time succeed after 100 ms.
-func (f *fakeHost) answerNewAttempts(sends map[UpstreamID]int) {
+// completeNewAttempts counts the attempts that were sent at the present time. Those that do not end at once will succeed
+// after 100 ms.
+func (f *fakeHost) completeNewAttempts(attempts map[UpstreamID]int) {
 	for _, r := range f.arrivals {
 		for _, a := range r.attempts {
 			if a.sentAt != f.now {
 				continue
 			}
-			sends[a.upstream]++
+			attempts[a.upstream]++
 			if a.endsAt > f.now {
 				a.outcome, a.endsAt = OK, f.now+100
 			}
@@ -83,7 +84,7 @@
 	}
 }
 
-// restart lets endpoints start now.
+// restart reports that the processes of endpoints have started at the present time.
 func (f *burstFleet) restart(endpoints []Endpoint) {
 	for i := range endpoints {
 		endpoints[i].StartedAt = f.hosts[0].now
@@ -93,8 +94,8 @@
 	}
 }
 
-// All instances together keep to what upstreams that are warming up can take, also in a burst after a quiet time and where
-// most upstreams are warming up.
+// TestWarmingUpstreamInABurst checks that all instances together do not overload upstreams that are warming up, even in a
+// burst after little traffic and if most upstreams are warming up.
 func TestWarmingUpstreamInABurst(t *testing.T) {
 	const instances, warm, warming = 30, 1, 10
 	for seed := range uint64(10) {
@@ -105,29 +106,30 @@
 		f := newBurstFleet(t, instances, seed, list)
 		f.play(6000, 2, 0)
 		total := 0
-		for _, n := range f.sends {
+		for _, n := range f.attempts {
 			total += n
 		}
 		each := float64(total) / (warm + warming) / 6000
 		f.restart(list[:warming])
-		f.play(500, 0.5, 0) // a quiet time
+		f.play(500, 0.5, 0) // little traffic
 		f.play(f.cfg.OverloadDuration, 18, 12)
 		warmFraction := f.cfg.SlowStartCapacity + (1-f.cfg.SlowStartCapacity)*500/f.cfg.SlowStartDuration
 		budget := f.cfg.OverloadMultiple * warmFraction * each * f.cfg.OverloadDuration
 		most := 0
 		for _, e := range list[:warming] {
-			most = max(most, f.sends[e.ID])
+			most = max(most, f.attempts[e.ID])
 		}
 		if limit := budget + 2*math.Sqrt(budget) + 2; float64(most) > limit {
-			t.Errorf("seed %d: %d sends to a warming upstream in a burst, %.1f are its budget and %.1f with chance", seed, most, budget, limit)
+			t.Errorf("seed %d: %d attempts at a warming upstream in a burst; its budget is %.1f, want at most %.1f with random variation", seed, most, budget, limit)
 		}
 		if most == 0 {
-			t.Errorf("seed %d: they get nothing", seed)
+			t.Errorf("seed %d: the warming upstreams get no attempts", seed)
 		}
 	}
 }
 
-// An instance that has just started in front of upstreams that are all warming up knows no rate to go by.
+// TestNewInstanceWithWarmingUpstreamsOnly checks that a new instance sends few attempts if all upstreams are warming up: it
+// has not measured the rate of warm upstreams.
 func TestNewInstanceWithWarmingUpstreamsOnly(t *testing.T) {
 	f := newFakeHost(t, testConfig(), 9)
 	all := testEndpoints(6)
@@ -140,12 +142,12 @@
 		f.step()
 	}
 	if f.forwarded > 6*4 || f.forwarded == 0 {
-		t.Errorf("%d sends to six warming upstreams in one window, want a few", f.forwarded)
+		t.Errorf("%d attempts at six warming upstreams in OverloadDuration, want 1 to 24", f.forwarded)
 	}
 }
 
-// slowStartLimit is how many requests an upstream that is warming up can take in the window of the rule, where the settings
-// allow so many.
+// slowStartLimit returns the maximum number of requests that a warming upstream may get in OverloadDuration. It is the
+// number that the settings allow, plus a margin for random variation.
 func slowStartLimit(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -153,18 +155,18 @@
 	return allowed + 2*math.Sqrt(allowed) + 2
 }
 
-// fleet is a number of instances in front of the same upstreams.
+// fleet is a set of instances that share the same upstreams and may get unequal traffic.
 type fleet struct {
 	cfg       Config
 	instances []*fakeHost
-	share     []float64 // of the mean traffic, by copy
-	sends     map[UpstreamID]int
+	share     []float64 // traffic of each instance as a multiple of the mean
+	attempts  map[UpstreamID]int
 }
 
-// evenShares gives each instance the mean traffic.
+// evenShares returns equal shares of the traffic.
 func evenShares(instances int) []float64 { return slices.Repeat([]float64{1}, instances) }
 
-// unevenShares gives a tenth of the instances five times the mean traffic, and leaves the rest to the others.
+// unevenShares returns shares by which a tenth of the instances gets five times the mean traffic, and the others the rest.
 func unevenShares(instances int) []float64 {
 	shares := slices.Repeat([]float64{0.56}, instances)
 	for i := 0; i < instances; i += 10 {
@@ -173,11 +175,11 @@
 	return shares
 }
 
-// newFleet returns a fleet of instances with the given shares of the mean traffic.
+// newFleet returns a fleet with one instance for each of the shares, which are multiples of the mean traffic.
 func newFleet(t *testing.T, shares []float64, seed uint64, list []Endpoint) *fleet {
 	cfg := testConfig()
 	cfg.Replicas = len(shares)
-	f := &fleet{cfg: cfg, share: shares, sends: map[UpstreamID]int{}}
+	f := &fleet{cfg: cfg, share: shares, attempts: map[UpstreamID]int{}}
 	for i := range shares {
 		cfg.Instance = i
 		c := newFakeHost(t, cfg, seed*10007+uint64(i))
@@ -187,9 +189,9 @@
 	return f
 }
 
-// play sends so many requests a second to the whole fleet, and a burst at once first.
+// play reports rate requests per second to the whole fleet for the given time in ms, after a burst of requests at once.
 func (f *fleet) play(ms Millis, rate float64, burst int) {
-	clear(f.sends)
+	clear(f.attempts)
 	sum := 0.0
 	for _, share := range f.share {
 		sum += share
@@ -201,21 +203,22 @@
 			for range n {
 				c.submit(0, 2000)
 			}
-			c.answerNewAttempts(f.sends)
+			c.completeNewAttempts(f.attempts)
 			c.step()
 		}
 	}
 }
 
-// However many instances there are and however unevenly traffic is spread over them, together they keep to what upstreams that
-// are warming up can take: in a steady flow, and in a burst after a quiet time in which each instance may have saved up a send.
-func TestSlowStartForAnyNumberOfCopies(t *testing.T) {
-	const warm, cold, rate = 1, 10, 60.0 // upstreams, and requests a second of all instances
+// TestSlowStartForAnyNumberOfInstances checks that all instances together do not overload upstreams that are warming up,
+// for any number of instances and for uneven traffic. The traffic is either steady, or a burst after little traffic, in
+// which each instance may have saved one slow start token per upstream.
+func TestSlowStartForAnyNumberOfInstances(t *testing.T) {
+	const warm, warming, rate = 1, 10, 60.0 // numbers of upstreams, and requests per second to all instances
 	for _, instances := range []int{1, 2, 3, 10, 30, 100, 300, 900} {
 		for i := range 4 {
 			uneven, burst := i%2 == 1, i/2 == 1
 			t.Run(fmt.Sprintf("%d instances, uneven %v, burst %v", instances, uneven, burst), func(t *testing.T) {
-				list := testEndpoints(warm + cold)
+				list := testEndpoints(warm + warming)
 				for i := range list {
 					list[i].Zone = 0
 				}
@@ -226,43 +229,43 @@
 				f := newFleet(t, shares, uint64(instances), list)
 				f.play(6000, rate, 0)
 				total := 0
-				for _, n := range f.sends {
+				for _, n := range f.attempts {
 					total += n
 				}
-				each := float64(total) / (warm + cold) / 6000 // requests a ms of a warm upstream
-				for i := range list[:cold] {
+				each := float64(total) / (warm + warming) / 6000 // requests per ms to one upstream
+				for i := range list[:warming] {
 					list[i].StartedAt = f.instances[0].now
 				}
 				for _, c := range f.instances {
-					c.sendDelta(list[:cold]...)
+					c.sendDelta(list[:warming]...)
 				}
 				if burst {
-					f.play(500, rate/4, 0) // a quiet time
-					f.check(t, list[:cold], 9*rate, 12*instances, each)
+					f.play(500, rate/4, 0) // little traffic
+					f.check(t, list[:warming], 9*rate, 12*instances, each)
 				} else {
-					f.check(t, list[:cold], rate, 0, each)
+					f.check(t, list[:warming], rate, 0, each)
 				}
 			})
 		}
 	}
 }
 
-// check plays one window of the rule and compares what each upstream that is warming up got with what it can take.
-func (f *fleet) check(t *testing.T, cold []Endpoint, rate float64, burst int, each float64) {
+// check plays OverloadDuration and checks that no warming upstream gets more attempts than it may.
+func (f *fleet) check(t *testing.T, warming []Endpoint, rate float64, burst int, each float64) {
 	t.Helper()
-	age := f.instances[0].now - cold[0].StartedAt
-	warmth := f.cfg.SlowStartCapacity + (1-f.cfg.SlowStartCapacity)*age/f.cfg.SlowStartDuration
-	allowed := f.cfg.OverloadMultiple * warmth * each * f.cfg.OverloadDuration
+	age := f.instances[0].now - warming[0].StartedAt
+	warmFraction := f.cfg.SlowStartCapacity + (1-f.cfg.SlowStartCapacity)*age/f.cfg.SlowStartDuration
+	allowed := f.cfg.OverloadMultiple * warmFraction * each * f.cfg.OverloadDuration
 	f.play(f.cfg.OverloadDuration, rate, burst)
 	most := 0
-	for _, e := range cold {
-		most = max(most, f.sends[e.ID])
-		if got, limit := float64(f.sends[e.ID]), slowStartLimit(allowed); got > limit {
-			t.Errorf("%.0f sends to a warming upstream, %.1f are allowed and %.1f with chance", got, allowed, limit)
+	for _, e := range warming {
+		most = max(most, f.attempts[e.ID])
+		if got, limit := float64(f.attempts[e.ID]), slowStartLimit(allowed); got > limit {
+			t.Errorf("%.0f attempts at a warming upstream; %.1f are allowed, want at most %.1f with random variation", got, allowed, limit)
 		}
 	}
-	t.Logf("%d at the most, %.1f allowed, %.1f with chance", most, allowed, slowStartLimit(allowed))
+	t.Logf("at most %d attempts at a warming upstream; %.1f are allowed, %.1f with random variation", most, allowed, slowStartLimit(allowed))
 	if most == 0 && burst > 0 {
-		t.Error("warming upstreams get nothing, so nothing is shown")
+		t.Error("the warming upstreams get no attempts, so the test shows nothing")
 	}
 }
