--- a/balance/actions.go
+++ b/balance/actions.go
@@ -1,7 +1,7 @@
 package balance
 
-// Action is an instruction of an instance to its host: a pointer to one of the types below. It is valid until
-// the next call of NextAction.
+// Action is an instruction of an instance to its host: a pointer to one of the types below.
+// It is valid until the next call of NextAction.
 type Action interface{ isAction() }
 
 // ForwardRequest sends a request to an upstream as the next attempt of the request.
@@ -11,8 +11,8 @@
 	Timeout  Millis // timeout of the attempt; 0 if it may take until the client gives up
 }
 
-// RejectRequest gives a request its final response: it was not served, and the client may safely send it
-// again.
+// RejectRequest gives a request its final response: it was not served,
+// and the client may safely send it again.
 type RejectRequest struct {
 	Request    RequestID
 	RetryAfter Millis // delay after which the client should send the request again; 0 for no advice
@@ -71,9 +71,9 @@
 // TimerID identifies a timer of an instance. Its value means nothing to the host.
 type TimerID uint64
 
-// outbox is the queue of the actions that the host has not yet carried out. Each type of action has a slice
-// of its own, so that adding an action to the queue does not allocate. The slices are reused when the queue
-// is empty.
+// outbox is the queue of the actions that the host has not yet carried out.
+// Each type of action has a slice of its own, so that adding an action to the queue does not allocate.
+// The slices are reused when the queue is empty.
 type outbox struct {
 	queue    []Action
 	next     int // index in queue of the next action
@@ -85,8 +85,8 @@
 	timeouts []SetAttemptTimeout
 }
 
-// add appends an action to the slice of its type and returns a pointer to it. The pointer stays usable when a
-// later append moves the slice, because actions are not modified after they are added.
+// add appends an action to the slice of its type and returns a pointer to it. The pointer stays usable
+// when a later append moves the slice, because actions are not modified after they are added.
 func add[T any](actions *[]T, a T) *T {
 	*actions = append(*actions, a)
 	return &(*actions)[len(*actions)-1]
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -1,13 +1,17 @@
 // Package balance makes the decisions of one instance of the load balancer: which requests are rejected,
 // which upstream gets each attempt, and which failed attempts are retried.
 //
-// A host reports events to a Balancer by calling its On... methods, and carries out the actions that
-// NextAction returns. The package does no I/O, reads no clock and depends on no protocol.
+// A host reports events to a Balancer by calling its On... methods.
+// It carries out the actions that NextAction returns.
+// The package does no I/O, reads no clock and depends on no protocol.
 //
-// A request normally takes these steps. The throttle may reject it, requests of the lowest priority weight
-// first. An upstream is selected: first the zone class, then the less loaded of two random upstreams. The
-// request is forwarded and the attempt ends. A failed attempt may be retried within the retry budget. All
-// other code handles exceptions; docs/design.md says when each of them applies.
+// A request normally takes these steps:
+//   - The throttle may reject it. Requests of the lowest priority weight are rejected first.
+//   - An upstream is selected: first the zone class, then the less loaded of two random upstreams.
+//   - The request is forwarded, and the attempt ends.
+//   - If the attempt failed, the request may be retried within the retry budget.
+//
+// All other code handles exceptions; docs/design.md says when each of them applies.
 package balance
 
 import "math/rand/v2"
@@ -15,24 +19,25 @@
 const (
 	tickInterval    Millis = 100   // time between two runs of the housekeeping
 	minWatchBackoff Millis = 1000  // delay before a failed watch is repeated; it doubles with each failure
-	maxWatchBackoff Millis = 16000 // upper bound of that delay, without jitter
-	minWatchJitter         = 0.5   // random factor of that delay: at least this, below 1.5
+	maxWatchBackoff Millis = 16000 // upper bound of the delay of a failed watch, without the random factor
+	minWatchJitter         = 0.5   // random factor of the delay of a failed watch: at least this, below 1.5
 )
 
-// Timers of an instance. A smaller TimerID is the id of a queued request and stands for its queue timeout.
+// Ids of the timers of an instance.
+// A smaller id is that of a queued request, and its timer is the queue timeout.
 const (
 	timerTick  TimerID = 1 << 32
 	timerWatch TimerID = 2 << 32
 )
 
-// randomStream selects a random number stream other than the host's, so that an instance and its host may use
-// the same seed.
+// randomStream selects a random number stream other than the host's.
+// An instance and its host may thus use the same seed.
 const randomStream = 0x5a17
 
-// Balancer is one instance of the load balancer. Each of its components, such as retryBudget, is the state of
-// one mechanism and is defined in the file of that mechanism. Decisions that need several components are
-// methods of Balancer in the file of the mechanism that they belong to. A Balancer is not safe for concurrent
-// use.
+// Balancer is one instance of the load balancer. Each of its components, such as retryBudget,
+// is the state of one mechanism and is defined in the file of that mechanism. Decisions that need several
+// components are methods of Balancer in the file of the mechanism that they belong to.
+// A Balancer is not safe for concurrent use.
 type Balancer struct {
 	settings *Config
 	now      Millis
@@ -59,8 +64,8 @@
 	watchBackoff Millis
 }
 
-// New returns an instance that starts at the time now. The same seed and the same events give the same
-// actions.
+// New returns an instance that starts at the time now.
+// The same seed and the same events give the same actions.
 func New(cfg Config, seed uint64, now Millis) *Balancer {
 	b := &Balancer{
 		settings:     &Config{},
@@ -88,8 +93,8 @@
 // replicas returns the number of instances that share the load, including this one.
 func (b *Balancer) replicas() float64 { return float64(max(1, b.settings.Replicas)) }
 
-// advance sets the clock of the instance to the time of an event, and closes the buckets that have ended by
-// then.
+// advance sets the clock of the instance to the time of an event,
+// and closes the buckets that have ended by then.
 func (b *Balancer) advance(now Millis) {
 	b.now = now
 	if now >= b.window.bucketEnd {
@@ -106,8 +111,8 @@
 	}
 }
 
-// OnRequest handles the arrival of a request. It ignores a request whose id is already in use or whose class
-// is unknown or removed.
+// OnRequest handles the arrival of a request.
+// It ignores a request whose id is already in use or whose class is unknown or removed.
 func (b *Balancer) OnRequest(now Millis, e *RequestArrived) {
 	b.advance(now)
 	if b.validRequest(e) {
@@ -146,8 +151,8 @@
 	b.admitQueued()
 }
 
-// OnResponseStarted handles the start of a streamed response. From then on the attempt counts as successful
-// and no longer as load of its upstream.
+// OnResponseStarted handles the start of a streamed response.
+// From then on the attempt counts as successful and no longer as load of its upstream.
 func (b *Balancer) OnResponseStarted(now Millis, e *ResponseStarted) {
 	b.advance(now)
 	r := b.requests.byID[e.Request]
@@ -168,8 +173,8 @@
 	b.admitQueued()
 }
 
-// OnDeadlineShortened handles a new, earlier deadline of a request in progress: the client gives up after
-// expiresIn. If the request is queued, its queue timeout is shortened too.
+// OnDeadlineShortened handles a new, earlier deadline of a request in progress:
+// the client gives up after expiresIn. If the request is queued, its queue timeout is shortened too.
 func (b *Balancer) OnDeadlineShortened(now Millis, id RequestID, expiresIn Millis) {
 	b.advance(now)
 	if r := b.requests.byID[id]; r != nil && !r.concluded {
@@ -178,9 +183,9 @@
 	b.admitQueued()
 }
 
-// OnRequestConcluded handles a request that the host has ended itself: the client has disconnected, or the
-// host sent the final response at the end of a shutdown. The request needs no response from the instance any
-// more.
+// OnRequestConcluded handles a request that the host has ended itself: the client has disconnected,
+// or the host sent the final response at the end of a shutdown.
+// The request needs no response from the instance any more.
 func (b *Balancer) OnRequestConcluded(now Millis, id RequestID) {
 	b.advance(now)
 	if r := b.requests.byID[id]; r != nil && !r.concluded {
@@ -206,16 +211,16 @@
 	b.admitQueued()
 }
 
-// OnEndpointUpdate handles an update of the endpoint list. From now on no attempt is sent to an endpoint that
-// the update marks as draining or removed.
+// OnEndpointUpdate handles an update of the endpoint list.
+// From now on no attempt is sent to an endpoint that the update marks as draining or removed.
 func (b *Balancer) OnEndpointUpdate(now Millis, e EndpointUpdate) {
 	b.advance(now)
 	b.updateEndpoints(e)
 	b.admitQueued()
 }
 
-// OnWatchFailed handles the failure of a WatchEndpoints action. The watch is repeated after a random,
-// exponentially growing delay, because discovery may be overloaded.
+// OnWatchFailed handles the failure of a WatchEndpoints action.
+// The watch is repeated after a random, exponentially growing delay, because discovery may be overloaded.
 func (b *Balancer) OnWatchFailed(now Millis) {
 	b.advance(now)
 	if b.settings.PollEndpoints {
@@ -226,8 +231,8 @@
 	b.admitQueued()
 }
 
-// OnSettings replaces the settings for requests that arrive from now on. Requests in progress keep the
-// settings under which they arrived.
+// OnSettings replaces the settings for requests that arrive from now on.
+// Requests in progress keep the settings under which they arrived.
 func (b *Balancer) OnSettings(now Millis, cfg *Config) {
 	b.advance(now)
 	b.applySettings(cfg)
@@ -235,24 +240,24 @@
 	b.admitQueued()
 }
 
-// OnDisable handles an override that disables an upstream. No attempt is sent to it until OnEnable, whatever
-// state the endpoint list reports.
+// OnDisable handles an override that disables an upstream.
+// No attempt is sent to it until OnEnable, whatever state the endpoint list reports.
 func (b *Balancer) OnDisable(now Millis, id UpstreamID) {
 	b.advance(now)
 	b.disable(id)
 	b.admitQueued()
 }
 
-// OnEnable handles an override that enables a disabled upstream. The upstream is assumed to have been
-// restarted while it was disabled, so it warms up first.
+// OnEnable handles an override that enables a disabled upstream.
+// The upstream is assumed to have been restarted while it was disabled, so it warms up first.
 func (b *Balancer) OnEnable(now Millis, id UpstreamID) {
 	b.advance(now)
 	b.enable(id)
 	b.admitQueued()
 }
 
-// NextAction returns the next action for the host, or false if there is none. Events that the host reports
-// while it carries out an action add their actions to the end of the queue.
+// NextAction returns the next action for the host, or false if there is none.
+// Events that the host reports while it carries out an action add their actions to the end of the queue.
 func (b *Balancer) NextAction() (Action, bool) { return b.outbox.pop() }
 
 // tick does the housekeeping that is due every tickInterval.
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// serveRequest reports the arrival of a request and the success of its first attempt, and every tenth time a tick.
+// serveRequest reports the arrival of a request and the success of its first attempt,
+// and every tenth time a tick.
 func serveRequest(b *Balancer, id RequestID, now *Millis) {
 	*now += 10
 	b.OnRequest(*now, &RequestArrived{Request: id, Class: uint8(id % 2), ExpiresIn: 2000})
@@ -32,8 +33,8 @@
 	}
 }
 
-// TestOrdinaryPathCost checks that a request without exceptions causes no allocation, and that the selection of its
-// upstream reads only the subset of the instance.
+// TestOrdinaryPathCost checks that a request without exceptions causes no allocation,
+// and that the selection of its upstream reads only the subset of the instance.
 func TestOrdinaryPathCost(t *testing.T) {
 	b, now, id := New(testConfig(), 1, 0), 0.0, RequestID(0)
 	b.updateEndpoints(EndpointUpdate{Endpoints: testEndpoints(150), Snapshot: true})
--- a/balance/config.go
+++ b/balance/config.go
@@ -58,7 +58,7 @@
 	SlowStartCapacity float64   // minimum fraction of its capacity that an upstream has when it starts
 	SlowStartDuration Millis    // maximum time from the start of an upstream until it has its full capacity
 	OverloadMultiple  float64   // an upstream fails under more than this multiple of its capacity; no decision uses it
-	OverloadDuration  Millis    // time above OverloadMultiple after which an upstream fails
+	OverloadDuration  Millis    // an upstream fails after a load above OverloadMultiple for this long
 	MaxAttempts       int       // maximum number of attempts of a request
 	CanCancel         bool      // attempts in flight may be cancelled
 	Hedging           bool      // two attempts of a request may be in flight at once; no decision uses it
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -1,7 +1,7 @@
 package balance
 
-// Endpoints: the upstreams as reported by discovery, and the overrides by which operators disable and enable
-// them.
+// Endpoints: the upstreams as reported by discovery, and the overrides
+// by which operators disable and enable them.
 
 import (
 	"cmp"
@@ -37,8 +37,8 @@
 	reenabled     []reenabledUpstream   // upstreams that operators have enabled again
 }
 
-// reenabledUpstream records that operators have enabled an upstream again. The record is needed until the
-// upstream is warm.
+// reenabledUpstream records that operators have enabled an upstream again.
+// The record is needed until the upstream is warm.
 type reenabledUpstream struct {
 	id        UpstreamID
 	startedAt Millis // earlier start times in the endpoint list are ignored
@@ -84,8 +84,8 @@
 	slices.SortFunc(t.ordered, func(x, y *upstream) int { return cmp.Compare(x.sortKey, y.sortKey) })
 }
 
-// available reports whether attempts may be sent to an upstream at all: it is ready, and not disabled by
-// operators.
+// available reports whether any attempts may be sent to an upstream: it is ready
+// and operators have not disabled it.
 func (b *Balancer) available(u *upstream) bool {
 	_, disabled := b.endpoints.disabledSince[u.ID]
 	return u.State == Ready && !disabled
@@ -104,9 +104,9 @@
 	b.updateUpstreamSets()
 }
 
-// updateEndpoint applies one entry of an endpoint update. A new process with a known id is treated as a new
-// upstream. A removed endpoint may be reported without its zone, so the upstream keeps the zone in which its
-// attempts in flight are counted.
+// updateEndpoint applies one entry of an endpoint update.
+// A new process with a known id is treated as a new upstream. A removed endpoint may be reported without
+// its zone, so the upstream keeps the zone in which its attempts in flight are counted.
 func (b *Balancer) updateEndpoint(e Endpoint) {
 	u := b.endpoints.byID[e.ID]
 	switch {
@@ -147,9 +147,10 @@
 	b.updateUpstreamSets()
 }
 
-// enable allows attempts to a disabled upstream again. The upstream was restarted in the meantime and
-// therefore warms up. Its start time is the one that the endpoint list has reported since the upstream was
-// disabled or, if there is none, the present time.
+// enable allows attempts to a disabled upstream again.
+// The upstream was restarted in the meantime and therefore warms up.
+// Its start time is the one that the endpoint list has reported since the upstream was disabled or,
+// if there is none, the present time.
 func (b *Balancer) enable(id UpstreamID) {
 	since, disabled := b.endpoints.disabledSince[id]
 	if !disabled {
@@ -177,8 +178,8 @@
 	t.reenabled = append(t.reenabled, reenabledUpstream{id: id, startedAt: startedAt})
 }
 
-// hashID mixes the bits of an id by the finalizer of SplitMix64, so that the order of the hashes does not
-// depend on the order of the ids.
+// hashID mixes the bits of an id with the finalizer of SplitMix64.
+// The order of the hashes does not depend on the order of the ids.
 func hashID(id UpstreamID) uint64 {
 	x := uint64(id) + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRemovedWithoutZone checks that attempts in flight stay counted in the zone class of their upstream if the
-// endpoint is removed by an update without its zone.
+// TestRemovedWithoutZone checks that attempts in flight stay counted in the zone class of their upstream
+// if the endpoint is removed by an update without its zone.
 func TestRemovedWithoutZone(t *testing.T) {
 	cfg := testConfig()
 	f := newWarmHost(t, cfg, 8)
@@ -50,8 +50,9 @@
 	}
 }
 
-// TestDisableAndEnable checks that no request goes to a disabled upstream, whatever the endpoint list reports. When it is
-// enabled again, the upstream gets requests and warms up, even if the list still reports the old start of its process.
+// TestDisableAndEnable checks that no request goes to a disabled upstream,
+// whatever the endpoint list reports. When it is enabled again, the upstream gets requests.
+// It then warms up, even if the list still reports the old start of its process.
 func TestDisableAndEnable(t *testing.T) { //revive:disable-line:function-length table of cases
 	const id = 2
 	endpointsWithStart := func(started Millis, n int) []Endpoint {
--- a/balance/events.go
+++ b/balance/events.go
@@ -3,8 +3,8 @@
 // Outcome is the result of an attempt.
 type Outcome uint8
 
-// Values of Outcome. Their order matters: Cancelled and later values say nothing about the upstream, and
-// NotSent and later values mean that the attempt was not executed.
+// Values of Outcome. Their order matters: Cancelled and later values say nothing about the upstream,
+// and NotSent and later values mean that the attempt was not executed.
 const (
 	OK              Outcome = iota // the upstream served the request
 	UpstreamError                  // the upstream responded with an error, and may have executed the request
@@ -38,7 +38,7 @@
 	RequestDone      bool    // the request has its final response or needs none
 	BodySent         bool    // part of the request body was sent and is no longer stored, so it cannot be sent again
 	LoadReported     bool    // the response carries a load report: ReportedInFlight is set
-	ReportedInFlight float64 // requests that the upstream recently had in flight from all instances
+	ReportedInFlight float64 // requests from all instances that the upstream recently had in flight
 }
 
 // ResponseStarted reports the start of a streamed response.
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,7 +6,8 @@
 	"salttrack/balance"
 )
 
-// The host in this example reports a request and the end of its first attempt, and prints the resulting actions.
+// The host in this example reports a request and the end of its first attempt,
+// and prints the resulting actions.
 func Example() {
 	b := balance.New(balance.Config{
 		Replicas:          1,
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -1,7 +1,7 @@
 package balance
 
-// newThrottled returns an instance whose accept window holds the given numbers of requests and accepts, indexed by class.
-// Its in-flight limit is used up, so that the formula is applied.
+// newThrottled returns an instance whose accept window holds the given numbers of requests
+// and accepts, indexed by class. Its in-flight limit is used up, so that the formula is applied.
 func newThrottled(cfg Config, requests, accepts []float64) *Balancer {
 	b := New(cfg, 1, 0)
 	b.updateEndpoints(EndpointUpdate{Endpoints: testEndpoints(4), Snapshot: true})
@@ -67,8 +67,8 @@
 	return list
 }
 
-// countForwarded reports n requests to an instance, one every 20 ms, ends their attempts successfully, and counts the
-// attempts by upstream.
+// countForwarded reports n requests to an instance, one every 20 ms, ends their attempts successfully,
+// and counts the attempts by upstream.
 func countForwarded(b *Balancer, from Millis, first RequestID, n int) map[UpstreamID]int {
 	to := map[UpstreamID]int{}
 	for i := range n {
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// fakeHost is the host of one instance. It draws the outcomes of attempts and their durations at random, and checks that
-// the actions of the instance obey the rules of the service. It does not simulate upstreams.
+// fakeHost is the host of one instance. It draws the outcomes of attempts and their durations at random,
+// and checks that the actions of the instance obey the rules of the service. It does not simulate upstreams.
 type fakeHost struct {
 	t         *testing.T
 	cfg       Config
@@ -20,7 +20,7 @@
 	endpoints map[UpstreamID]*hostEndpoint
 	timers    []hostTimer
 	forwarded int
-	log       []string // every action, to compare runs
+	log       []string // every action, for the comparison of two runs
 }
 
 // hostRequest is the state of a request at the host.
--- a/balance/limiter.go
+++ b/balance/limiter.go
@@ -1,7 +1,7 @@
 package balance
 
-// Concurrency limit: the maximum number of attempts in flight, learned from the latencies of this instance's
-// own attempts. Only instances that send to the first tier have a limit.
+// Concurrency limit: the maximum number of attempts in flight, learned from the latencies
+// of this instance's own attempts. Only instances that send to the first tier have a limit.
 
 import "math"
 
@@ -15,20 +15,22 @@
 	minUtilization   = 0.8   // a limit rises only while at least this fraction of it is in use
 	initialLimit     = 6.0   // limit at the start: attempts in flight per upstream, over all replicas
 	minLimit         = 0.5   // lower bound of a limit: attempts in flight per upstream, over all replicas
-	minLimitOnErrors = 4.0   // like minLimit, while responses are fast and only errors lower the limit
+	minLimitOnErrors = 4.0   // attempts in flight per upstream: lower bound if only errors lower the limit
 	minCapacity      = 0.1   // lower bound of an instance's limit, in attempts, so that it keeps measuring
 )
 
-// concurrencyLimiter holds the mean latency ratios by which the limits are adjusted. The latency ratio of an
-// attempt is its latency as a fraction of the latency objective, or 1 if it got no response in time.
+// concurrencyLimiter holds the mean latency ratios by which the limits are adjusted.
+// The latency ratio of an attempt is its latency divided by the latency objective.
+// It is 1 if there was no response in time.
 type concurrencyLimiter struct {
-	latencyRatio   mean    // mean of all attempts
-	okLatencyRatio mean    // mean of the successful attempts
+	latencyRatio   mean    // mean latency ratio of all attempts
+	okLatencyRatio mean    // mean latency ratio of the successful attempts
 	baselineRatio  float64 // estimate of the latency ratio without queueing
 }
 
-// record adds the latency ratio of an attempt. During the first minRequests outcomes the baseline equals the
-// mean. Later it falls to a lower mean at once and rises slowly to a higher one.
+// record adds the latency ratio of an attempt.
+// During the first minRequests outcomes the baseline equals the mean.
+// Later it falls to a lower mean at once and rises slowly to a higher one.
 func (l *concurrencyLimiter) record(ratio float64) {
 	l.latencyRatio.add(ratio, ratioGain)
 	if l.latencyRatio.n <= minRequests || l.latencyRatio.value < l.baselineRatio {
@@ -37,8 +39,8 @@
 	l.baselineRatio += (l.latencyRatio.value - l.baselineRatio) * baselineRiseGain
 }
 
-// targetRatio returns the latency ratio at which a limit settles: the geometric mean of the baseline and
-// lateRatio.
+// targetRatio returns the latency ratio at which a limit settles.
+// It is the geometric mean of the baseline and lateRatio.
 func (l *concurrencyLimiter) targetRatio() float64 {
 	baseline := min(maxBaselineRatio, max(l.baselineRatio, minBaselineRatio))
 	return math.Sqrt(baseline * lateRatio)
@@ -57,8 +59,8 @@
 	}
 }
 
-// updateLimitByError lowers the limit of a zone class after an error. While successful responses are fast, it
-// does not lower the limit below minLimitOnErrors, because such errors are not caused by queueing.
+// updateLimitByError lowers the limit of a zone class after an error. While successful responses are fast,
+// it does not lower the limit below minLimitOnErrors, because such errors are not caused by queueing.
 func (b *Balancer) updateLimitByError(z *zoneClass) {
 	before := z.limitPerUpstream
 	b.updateLimit(z, 1)
@@ -67,9 +69,9 @@
 	}
 }
 
-// updateLimit adjusts the limit of a zone class by the latency ratio of one of its attempts. The step is
-// divided by the number of warm upstreams, so that all attempts of one round trip together change the limit
-// by a bounded fraction.
+// updateLimit adjusts the limit of a zone class by the latency ratio of one of its attempts.
+// The step is divided by the number of warm upstreams, so that all attempts of one round trip together change
+// the limit by a bounded fraction.
 func (b *Balancer) updateLimit(z *zoneClass, ratio float64) {
 	b.limiter.record(ratio)
 	step := limitGain * (b.limiter.targetRatio() - ratio) / max(1, z.warmEquivalents)
@@ -78,16 +80,16 @@
 	}
 }
 
-// hasCapacity reports whether a request may be forwarded now. It is also true without any upstream, because
-// there is no capacity that the request could wait for.
+// hasCapacity reports whether a request may be forwarded now.
+// It is also true without any upstream, because there is no capacity that the request could wait for.
 func (b *Balancer) hasCapacity(r *request) bool {
 	return b.zoneHasCapacity(localZone, r) || b.zoneHasCapacity(remoteZones, r) || b.warmEquivalents() == 0
 }
 
-// zoneHasCapacity reports whether the load of a zone class is below its limit. Inner tiers have no limit,
-// because a request that waits there stays in flight in the tier in front. A fractional limit is rounded up
-// at random, with the probability of its fraction, by roundingDraw. minCapacity applies to one zone class
-// only: the local one if it has upstreams, else the remote one.
+// zoneHasCapacity reports whether the load of a zone class is below its limit.
+// Inner tiers have no limit, because a request that waits there stays in flight in the tier in front.
+// A fractional limit is rounded up at random, with the probability of its fraction, by roundingDraw.
+// minCapacity applies to one zone class only: the local one if it has upstreams, else the remote one.
 func (b *Balancer) zoneHasCapacity(zone int, r *request) bool {
 	if b.settings.Tier > 0 {
 		return true
@@ -100,9 +102,9 @@
 	return z.warmEquivalents > 0 && b.weightedInFlight(z, r)+z.roundingDraw < max(minimum, z.limit())
 }
 
-// weightedInFlight returns the number of attempts in flight in a zone class as they count against the
-// capacity for the request r. Attempts of a lower priority weight count by the ratio of the weights, all
-// others count as 1. Requests of a higher weight are thus forwarded first when capacity is small.
+// weightedInFlight returns the number of attempts in flight in a zone class as they count against
+// the capacity for the request r. Attempts of a lower priority weight count by the ratio of the weights,
+// all others count as 1. Requests of a higher weight are thus forwarded first when capacity is small.
 func (b *Balancer) weightedInFlight(z *zoneClass, r *request) float64 {
 	sum := 0.0
 	for class, n := range z.inFlightByClass {
--- a/balance/limiter_test.go
+++ b/balance/limiter_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// TestErrorsWithFastResponses checks that errors lower the limit to nearly 0 only if the successful responses are slow.
+// TestErrorsWithFastResponses checks that errors lower the limit to nearly 0 only
+// if the successful responses are slow.
 func TestErrorsWithFastResponses(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
@@ -69,7 +70,8 @@
 	}
 }
 
-// TestFractionalCapacity checks that a limit that is no whole number allows so many attempts on average.
+// TestFractionalCapacity checks that a limit that is not a whole number
+// is the average number of attempts allowed.
 func TestFractionalCapacity(t *testing.T) {
 	for _, tt := range []struct{ limit, want float64 }{{0, minCapacity}, {0.3, 0.3}, {1.6, 1.6}, {7, 7}} {
 		const n = 4000
@@ -90,8 +92,8 @@
 	}
 }
 
-// TestLimitWithFewRequests checks that the first responses without queueing do not lower the limit: the baseline is not yet
-// known then.
+// TestLimitWithFewRequests checks that the first responses without queueing do not lower the limit:
+// the baseline is not yet known then.
 func TestLimitWithFewRequests(t *testing.T) {
 	b := New(testConfig(), 1, 0)
 	b.updateEndpoints(EndpointUpdate{Endpoints: testEndpoints(8), Snapshot: true})
@@ -106,8 +108,8 @@
 	}
 }
 
-// TestHighWeightPrecedesLow checks that a request of low weight in flight does not make one of high weight wait, even if
-// there is capacity for only one attempt.
+// TestHighWeightPrecedesLow checks that a request of low weight in flight does not make one of high weight
+// wait, even if there is capacity for only one attempt.
 func TestHighWeightPrecedesLow(t *testing.T) {
 	b := New(testConfig(), 1, 0)
 	b.updateEndpoints(EndpointUpdate{Endpoints: testEndpoints(8), Snapshot: true})
@@ -125,8 +127,8 @@
 	}
 }
 
-// TestMinCapacityIsForOneZoneClass checks that only one zone class of an instance has minCapacity, because the minimum
-// capacities of many instances add up.
+// TestMinCapacityIsForOneZoneClass checks that only one zone class of an instance has minCapacity,
+// because the minimum capacities of many instances add up.
 func TestMinCapacityIsForOneZoneClass(t *testing.T) {
 	allowedFraction := func(b *Balancer, zone int) float64 {
 		const n = 4000
@@ -151,8 +153,8 @@
 	}
 }
 
-// TestBaselineOfOverloadedUpstreams checks that the limit falls if the upstreams are already overloaded when the instance
-// starts: their latency must not become the baseline.
+// TestBaselineOfOverloadedUpstreams checks that the limit falls if the upstreams are already overloaded
+// when the instance starts: their latency must not become the baseline.
 func TestBaselineOfOverloadedUpstreams(t *testing.T) {
 	b := New(testConfig(), 1, 0)
 	b.updateEndpoints(EndpointUpdate{Endpoints: testEndpoints(8), Snapshot: true})
--- a/balance/mean.go
+++ b/balance/mean.go
@@ -15,8 +15,7 @@
 	m.value += (x - m.value) * max(gain, 1/m.n)
 }
 
-// serviceTimes holds the mean service times: the times in ms from sending an attempt to its successful
-// response.
+// serviceTimes holds the mean times, in ms, from sending an attempt to its successful response.
 type serviceTimes struct {
 	byClass []mean
 	all     mean
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -5,20 +5,20 @@
 import "math"
 
 const (
-	loadPerFailure                = 2     // attempts in flight that a consecutive failure counts as
-	failuresToEject               = 3     // consecutive failures that eject, as a sum of failureWeights
-	connectFailuresToEject        = 2     // failures that eject if the last one is a ConnectFailed
-	minEjection            Millis = 2000  // duration of the first ejection; it doubles with each further one
-	maxEjection            Millis = 16000 // upper bound of the duration, without jitter
-	minEjectionJitter             = 0.75  // random factor of the duration: at least this, below 1.25
+	loadPerFailure                = 2     // attempts in flight that each failure in a row counts as
+	failuresToEject               = 3     // failures in a row that eject, as a sum of failureWeights
+	connectFailuresToEject        = 2     // failures in a row that eject if the last is a ConnectFailed
+	minEjection            Millis = 2000  // duration of the first ejection; doubles with each one in a row
+	maxEjection            Millis = 16000 // upper bound of the duration of an ejection, without jitter
+	minEjectionJitter             = 0.75  // random factor of an ejection's duration: from this to 1.25
 	maxEjectedFraction            = 0.5   // of the available upstreams; if more fail, the cause is elsewhere
 
 	unresponsiveMultiple          = 4.0 // an upstream may take this many mean service times to respond
 	minUnresponsiveTimeout Millis = 300 // lower bound of unresponsiveTimeout
 )
 
-// failureWeights holds the weight of each kind of failure. It is lower for a kind that upstreams in good
-// health cause more often by chance.
+// failureWeights holds the weight of each kind of failure.
+// It is lower for a kind that upstreams in good health cause more often by chance.
 var failureWeights = [...]float64{UpstreamError: 1, TimedOut: 1, ConnectFailed: 1, ConnectionReset: 0.625}
 
 // outlierDetection is the state of outlier detection that concerns all upstreams together.
@@ -62,8 +62,8 @@
 	b.zoneOf(u).recordServed(elapsed / max(1, b.serviceTimes.byClass[class].value))
 }
 
-// recordFailure counts a failure of an upstream. It ejects the upstream after too many consecutive failures,
-// or after one failure on probation.
+// recordFailure counts a failure of an upstream.
+// It ejects the upstream after too many consecutive failures, or after one failure on probation.
 func (b *Balancer) recordFailure(r *request, u *upstream, outcome Outcome, elapsed Millis) {
 	if b.countsAgainstUpstream(r, outcome, elapsed) {
 		u.consecutiveFailures += failureWeights[outcome]
@@ -74,8 +74,8 @@
 	}
 }
 
-// countsAgainstUpstream reports whether a failure counts against its upstream. An error from a later tier
-// does not, nor does a timeout that was too short for the upstream to respond.
+// countsAgainstUpstream reports whether a failure counts against its upstream.
+// An error from a later tier does not, nor does a timeout that was too short for the upstream to respond.
 func (b *Balancer) countsAgainstUpstream(r *request, outcome Outcome, elapsed Millis) bool {
 	if b.fromLaterTier(r, outcome, elapsed) {
 		return false
@@ -112,10 +112,10 @@
 	return float64(ejected+1) <= maxEjectedFraction*float64(available)
 }
 
-// detectUnresponsive finds upstreams that do not respond at all, without waiting for the outcomes of their
-// attempts, and stops new attempts to them. Their attempts in flight continue until their timeouts: retried
-// at other upstreams, they would use capacity for requests that can still be served. The upstream is ejected
-// when the last of them has ended.
+// detectUnresponsive finds upstreams that do not respond at all, and stops new attempts to them.
+// It does not wait for the outcomes of their attempts. Attempts in flight continue until their timeouts:
+// retried at other upstreams, they would use capacity for requests that can still be served.
+// An upstream is ejected when its last attempt in flight has ended.
 func (b *Balancer) detectUnresponsive() {
 	timeout := b.unresponsiveTimeout()
 	for _, r := range b.requests.arrivals {
@@ -131,8 +131,9 @@
 	}
 }
 
-// unresponsiveTimeout returns how long an upstream may take to respond before it counts as unresponsive. The
-// timeout is infinite if no upstream has responded recently, because then the cause is not a single upstream.
+// unresponsiveTimeout returns how long an upstream may take to respond before it counts as unresponsive.
+// The timeout is infinite if no upstream has responded recently,
+// because then the cause is not a single upstream.
 func (b *Balancer) unresponsiveTimeout() Millis {
 	timeout := max(minUnresponsiveTimeout, unresponsiveMultiple*b.serviceTimes.all.value)
 	if b.now-b.outliers.lastSuccess > timeout/2 {
@@ -141,9 +142,9 @@
 	return timeout
 }
 
-// checkResponsive marks the upstream of an attempt as unresponsive if the attempt has been in flight for
-// longer than the timeout and the upstream has sent no response to any request since. If the attempt is the
-// only one in flight at its upstream, twice the timeout applies.
+// checkResponsive marks the upstream of an attempt as unresponsive if the attempt has been in flight
+// for longer than the timeout and the upstream has sent no response to any request since.
+// If the attempt is the only one in flight at its upstream, twice the timeout applies.
 func (b *Balancer) checkResponsive(a *attempt, timeout Millis) {
 	u := a.upstream
 	waited := b.now - a.sentAt
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -31,8 +31,9 @@
 	}
 }
 
-// enqueue adds a request to the queue. If the queue is then longer than the number of attempts that may be in
-// flight, the last request, which is one of the lowest weight, is rejected.
+// enqueue adds a request to the queue.
+// If the queue is then longer than the number of attempts that may be in flight, the last request,
+// which is one of the lowest weight, is rejected.
 func (b *Balancer) enqueue(r *request) {
 	b.queue.insert(r)
 	if float64(len(b.queue)) > b.totalCapacity() {
--- a/balance/queue_test.go
+++ b/balance/queue_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestQueueTimeoutLeavesTimeToServe checks that a queued request waits only while it can still be served in time, and for at
-// most half of the time until its deadline.
+// TestQueueTimeoutLeavesTimeToServe checks that a queued request waits only while it can still be served
+// in time, and for at most half of the time until its deadline.
 func TestQueueTimeoutLeavesTimeToServe(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
--- a/balance/request.go
+++ b/balance/request.go
@@ -53,8 +53,8 @@
 
 func newRequestTable() requestTable { return requestTable{byID: map[RequestID]*request{}} }
 
-// acquire returns a request to be filled in. It reuses a finished one with the memory of its attempts if
-// there is one.
+// acquire returns a request to be filled in.
+// It reuses a finished one with the memory of its attempts if there is one.
 func (t *requestTable) acquire() *request {
 	n := len(t.free)
 	if n == 0 {
@@ -104,10 +104,10 @@
 	return r
 }
 
-// usefulDeadline returns the time after which a response to the request earns nothing. This is when the
-// client gives up or, if a late response earns nothing, two granularities before the end of the latency
-// objective. The objective is not used at inner tiers, which do not know it, nor for streamed responses and
-// incomplete bodies.
+// usefulDeadline returns the time after which a response to the request earns nothing.
+// This is when the client gives up or, if a late response earns nothing,
+// two granularities before the end of the latency objective. The objective is not used at inner tiers,
+// which do not know it, nor for streamed responses and incomplete bodies.
 func (b *Balancer) usefulDeadline(r *request) Millis {
 	c := r.classRules()
 	if b.settings.Tier > 0 || c.LateWeight > 0 || c.Streaming || r.bodyIncomplete {
@@ -167,8 +167,8 @@
 	}
 }
 
-// startStreaming records the outcome of an attempt when its response starts to be streamed, and concludes the
-// request, since this is its final response.
+// startStreaming records the outcome of an attempt when its response starts to be streamed,
+// and concludes the request, since this is its final response.
 func (b *Balancer) startStreaming(r *request, a *attempt, elapsed Millis) {
 	b.endLoad(r, a)
 	b.recordOutcome(r, a, OK, elapsed)
@@ -204,8 +204,8 @@
 	}
 }
 
-// conclude records that a request has its final response or needs none. Attempts in flight are cancelled
-// where allowed, since the client no longer waits for them.
+// conclude records that a request has its final response or needs none.
+// Attempts in flight are cancelled where allowed, since the client no longer waits for them.
 func (b *Balancer) conclude(r *request) {
 	r.concluded = true
 	b.queue.remove(r)
@@ -219,8 +219,8 @@
 	}
 }
 
-// cancellable reports whether an attempt may be cancelled once the request is concluded. A response that has
-// started to be streamed continues.
+// cancellable reports whether an attempt may be cancelled once the request is concluded.
+// A response that has started to be streamed continues.
 func (r *request) cancellable(a *attempt) bool {
 	if a.ended || !r.settings.CanCancel || r.classRules().Streaming {
 		return false
@@ -234,8 +234,8 @@
 	b.giveUp(r, reason)
 }
 
-// giveUp gives the final response to a request that is not served: a rejection if it is safe and still useful
-// to send the request again, else a failure.
+// giveUp gives the final response to a request that is not served: a rejection if it is safe
+// and still useful to send the request again, else a failure.
 func (b *Balancer) giveUp(r *request, reason GiveUpReason) {
 	if r.safeToResend() && (r.firstMayHaveRun < 0 || b.now < r.usefulUntil) {
 		b.outbox.reject(RejectRequest{Request: r.id, RetryAfter: b.retryAfter(r), Reason: reason})
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -1,7 +1,6 @@
 package balance
 
-// Attempts and retries: forwarding of requests, and retries within the retry budget and the rule on
-// idempotency.
+// Attempts and retries: requests are forwarded, and retried within the retry budget and the idempotency rule.
 
 const (
 	retryBudgetRatio = 0.1 // maximum ratio of retries to recent requests
@@ -28,8 +27,8 @@
 // exhausted reports whether one more retry exceeds the budget for the given number of recent requests.
 func (t *retryBudget) exhausted(requests float64) bool { return t.recent+1 > retryBudgetRatio*requests }
 
-// retryOrGiveUp retries a request or gives it up after its last attempt in flight ended without a response to
-// it.
+// retryOrGiveUp retries a request or gives it up.
+// The last attempt in flight of the request has ended without a response.
 func (b *Balancer) retryOrGiveUp(r *request, a *attempt, outcome Outcome, elapsed Millis) {
 	if b.mayRetry(r, a) && !b.fromLaterTier(r, outcome, elapsed) {
 		b.forwardOrGiveUp(r)
@@ -38,9 +37,9 @@
 	}
 }
 
-// fromLaterTier reports whether an error probably comes from a tier behind the upstream: there is such a
-// tier, and the upstream had enough time to call it. The instance directly in front of that tier has already
-// retried, and retries at each tier would multiply the load.
+// fromLaterTier reports whether an error probably comes from a tier behind the upstream:
+// there is such a tier, and the upstream had enough time to call it. The instance directly in front
+// of that tier has already retried, and retries at each tier would multiply the load.
 func (b *Balancer) fromLaterTier(r *request, outcome Outcome, elapsed Millis) bool {
 	if outcome != UpstreamError || b.settings.Tier+1 >= b.settings.TierCount {
 		return false
@@ -48,8 +47,8 @@
 	return elapsed > ownErrorFraction*b.serviceTimes.byClass[r.class].value
 }
 
-// mayRetry reports whether another attempt of a request is allowed and useful after the given last one. An
-// attempt that replaces one that was not sent adds no load, so it is not charged to the retry budget.
+// mayRetry reports whether another attempt of a request is allowed and useful after the given last one.
+// An attempt that replaces one that was not sent adds no load, so it is not charged to the retry budget.
 func (b *Balancer) mayRetry(r *request, last *attempt) bool {
 	if len(r.attempts) >= min(maxAttempts, r.settings.MaxAttempts) {
 		return false
@@ -65,8 +64,8 @@
 	return remaining > b.serviceTimes.byClass[r.class].value/2 && remaining > 2*b.settings.Granularity
 }
 
-// mayRetryAt reports whether the rule on idempotency allows an attempt at an upstream. A request that was
-// never executed, or that is idempotent, may go to any upstream.
+// mayRetryAt reports whether the rule on idempotency allows an attempt at an upstream.
+// A request that was never executed, or that is idempotent, may go to any upstream.
 func (b *Balancer) mayRetryAt(r *request, u *upstream) bool {
 	c := r.classRules()
 	if r.firstMayHaveRun < 0 || c.Idempotency == Idempotent {
@@ -75,9 +74,9 @@
 	return b.deduplicates(r, u)
 }
 
-// deduplicates reports whether an upstream drops a duplicate of a request that may have been executed: the
-// request has an idempotency key, its deduplication window has not ended, and the upstream is in the
-// deduplication scope of the first attempt.
+// deduplicates reports whether an upstream drops a duplicate of a request that may have been executed:
+// the request has an idempotency key, its deduplication window has not ended,
+// and the upstream is in the deduplication scope of the first attempt.
 func (b *Balancer) deduplicates(r *request, u *upstream) bool {
 	c := r.classRules()
 	first := &r.attempts[r.firstMayHaveRun]
@@ -87,8 +86,8 @@
 	return sameScope(c.DeduplicationScope, first.upstream, u)
 }
 
-// sameScope reports whether two upstreams are in the same deduplication scope, so that each drops duplicates
-// of what the other has executed.
+// sameScope reports whether two upstreams are in the same deduplication scope,
+// so that each drops duplicates of what the other has executed.
 func sameScope(scope DeduplicationScope, x, y *upstream) bool {
 	if scope == ScopeAll {
 		return true
@@ -96,8 +95,8 @@
 	return x.Zone == y.Zone && (scope == ScopeZone || x.Cell == y.Cell)
 }
 
-// forwardOrGiveUp sends the next attempt of a request. It gives the request up if no upstream can take it or
-// if a response would be too late to be useful.
+// forwardOrGiveUp sends the next attempt of a request.
+// It gives up the request if no upstream can take it, or if a response would come too late.
 func (b *Balancer) forwardOrGiveUp(r *request) {
 	u := b.selectUpstream(r)
 	switch {
@@ -110,8 +109,8 @@
 	}
 }
 
-// giveUpUnsent gives up a request whose next attempt cannot be sent. A request without any attempt is
-// rejected.
+// giveUpUnsent gives up a request whose next attempt cannot be sent.
+// A request without any attempt is rejected.
 func (b *Balancer) giveUpUnsent(r *request, reason GiveUpReason) {
 	if len(r.attempts) == 0 {
 		b.reject(r, reason)
@@ -142,8 +141,8 @@
 	b.outbox.forward(ForwardRequest{Request: r.id, Upstream: u.ID, Timeout: b.attemptTimeout(r)})
 }
 
-// attemptTimeout returns the timeout of an attempt that starts now. It is 0 if the attempt may take until the
-// client gives up.
+// attemptTimeout returns the timeout of an attempt that starts now.
+// It is 0 if the attempt may take until the client gives up.
 func (b *Balancer) attemptTimeout(r *request) Millis {
 	if r.usefulUntil >= r.expiresAt {
 		return 0
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestErrorsOfLaterTiersAreNotRetried checks that only the instance directly in front of a failure retries, because retries
-// at each tier before it would multiply.
+// TestErrorsOfLaterTiersAreNotRetried checks that only the instance directly in front of a failure retries,
+// because retries at each tier before it would multiply.
 func TestErrorsOfLaterTiersAreNotRetried(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// playRandomEvents reports random requests, outcomes and endpoint updates to an instance. The same seed gives the same
-// events.
+// playRandomEvents reports random requests, outcomes and endpoint updates to an instance.
+// The same seed gives the same events.
 func playRandomEvents(t *testing.T, cfg Config, seed uint64) *fakeHost {
 	f := newFakeHost(t, cfg, seed)
 	endpoints := testEndpoints(7)
@@ -62,7 +62,8 @@
 	}
 }
 
-// sendUnknownEvents reports events of requests, timers and endpoints that the instance does not know and has to ignore.
+// sendUnknownEvents reports events of requests, timers and endpoints that the instance
+// does not know and has to ignore.
 func (f *fakeHost) sendUnknownEvents() {
 	f.b.OnAttemptEnded(f.now, &AttemptEnded{Request: f.nextID + 1000, Outcome: OK, RequestDone: true})
 	f.carryOut()
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -5,16 +5,16 @@
 // loadReportLifetime is the age up to which a load report is used.
 const loadReportLifetime Millis = 10000
 
-// loadTolerance is a factor on the mean load. It keeps rounding errors from dropping upstreams that have
-// exactly the mean load.
+// loadTolerance is a factor on the mean load.
+// It keeps rounding errors from dropping upstreams that have exactly the mean load.
 const loadTolerance = 1.0001
 
 // upstreamFilter reports whether an upstream may be selected.
 type upstreamFilter func(*Balancer, *upstream) bool
 
-// selectUpstream returns the upstream for the next attempt of a request, or nil if there is none. If no
-// upstream is usable, it selects among all that are available, because the upstreams are not the cause when
-// all of them seem to fail.
+// selectUpstream returns the upstream for the next attempt of a request, or nil if there is none.
+// If no upstream is usable, it selects among all that are available, because the upstreams are not the cause
+// when all of them seem to fail.
 func (b *Balancer) selectUpstream(r *request) *upstream {
 	if u := b.probeReenabled(r); u != nil {
 		return u
@@ -54,8 +54,8 @@
 }
 
 // lessLoadedOfTwo returns the less loaded of two random upstreams of a zone class, or nil if there is none.
-// It selects among the subset of this instance or, if none of the subset is eligible, among all upstreams of
-// the zone class.
+// It selects among the subset of this instance or, if none of the subset is eligible,
+// among all upstreams of the zone class.
 func (b *Balancer) lessLoadedOfTwo(r *request, zone int, eligible upstreamFilter) *upstream {
 	b.collectCandidates(r, zone, b.zones[zone].subset, eligible)
 	if len(b.candidates) == 0 {
@@ -91,8 +91,8 @@
 	b.candidates = found
 }
 
-// dropAboveMeanLoad drops the candidates whose load is above the mean. With two random choices alone, the
-// load of the most loaded of a few upstreams would be far above the mean.
+// dropAboveMeanLoad drops the candidates whose load is above the mean.
+// With two random choices alone, the load of the most loaded of a few upstreams would be far above the mean.
 func (b *Balancer) dropAboveMeanLoad() {
 	sum := 0.0
 	for i := range b.candidates {
@@ -118,16 +118,16 @@
 	return first.upstream
 }
 
-// reportsLessLoad reports whether x has recently reported fewer requests in flight than y. The reports are
-// needed because an instance with little traffic has no attempts in flight at most upstreams.
+// reportsLessLoad reports whether x has recently reported fewer requests in flight than y.
+// The reports are needed because an instance with little traffic has no attempts in flight at most upstreams.
 func (b *Balancer) reportsLessLoad(x, y *upstream) bool {
 	older := min(x.reportedAt, y.reportedAt)
 	return x.reportedInFlight < y.reportedInFlight && b.now-older < loadReportLifetime
 }
 
-// loadOf returns the load by which upstreams are compared: the attempts of this instance in flight, divided
-// by the warm fraction of the upstream. Consecutive failures add to the load, because an upstream that fails
-// fast has few attempts in flight.
+// loadOf returns the load by which upstreams are compared: the attempts of this instance in flight,
+// divided by the warm fraction of the upstream.
+// Consecutive failures add to the load, because an upstream that fails fast has few attempts in flight.
 func (b *Balancer) loadOf(u *upstream) float64 {
 	return (float64(u.inFlight+1) + loadPerFailure*u.consecutiveFailures) / b.warmFraction(u)
 }
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestFailingUpstreamsGetLittleTraffic checks that upstreams that fail fast, and thus have few attempts in flight, get
-// little traffic even if they are too many to be ejected.
+// TestFailingUpstreamsGetLittleTraffic checks that upstreams that fail fast, and thus have few attempts
+// in flight, get little traffic even if they are too many to be ejected.
 func TestFailingUpstreamsGetLittleTraffic(t *testing.T) {
 	cfg := testConfig()
 	f := newWarmHost(t, cfg, 10)
@@ -87,7 +87,8 @@
 	}
 }
 
-// TestSubsetSize checks that the subset of an instance has as many upstreams as the instance has attempts in flight.
+// TestSubsetSize checks that the subset of an instance has as many upstreams as the instance has attempts
+// in flight, but at least minSubset.
 func TestSubsetSize(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -107,8 +108,8 @@
 	}
 }
 
-// TestSubsetGrowsAndIsStable checks that a subset grows to compensate for ejected upstreams, and that an update of one
-// upstream does not change the rest of the subset.
+// TestSubsetGrowsAndIsStable checks that a subset grows to compensate for ejected upstreams,
+// and that an update of one upstream does not change the rest of the subset.
 func TestSubsetGrowsAndIsStable(t *testing.T) {
 	b := New(testConfig(), 1, 0)
 	b.zones[0].inFlight = 5
@@ -134,8 +135,8 @@
 	}
 }
 
-// TestSubsetsAreSpreadEvenly checks that the subsets of all instances contain all upstreams about equally often, even if
-// only every second or third instance is in the zone.
+// TestSubsetsAreSpreadEvenly checks that the subsets of all instances contain all upstreams about equally
+// often, even if only every second or third instance is in the zone.
 func TestSubsetsAreSpreadEvenly(t *testing.T) {
 	const instances, upstreams = 240, 50
 	for _, step := range []int{1, 2, 3} {
@@ -162,13 +163,14 @@
 	}
 }
 
-// TestLoadReportsDecideBetweenEqualLoads checks that the upstream with the lower load report is selected if the loads are
-// equal. The instance's own attempts in flight have priority over the reports, and old reports are ignored.
+// TestLoadReportsDecideBetweenEqualLoads checks that the upstream with the lower load report is selected
+// if the loads are equal. The instance's own attempts in flight have priority over the reports,
+// and old reports are ignored.
 func TestLoadReportsDecideBetweenEqualLoads(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
 		inFlight   int     // attempts in flight at the upstream with the lower report
-		age        Millis  // of the reports
+		age        Millis  // age of the load reports
 		least, top float64 // bounds of the fraction of selections that return it
 	}{
 		{"equal loads, new reports", 0, 0, 1, 1}, {"own attempt in flight", 1, 0, 0, 0}, {"old reports", 0, loadReportLifetime, 0.4, 0.6},
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -1,7 +1,8 @@
 package balance
 
-// applySettings replaces the settings. Counts of a class that is removed, or whose index is used for another
-// class, are dropped. All else that was learned is kept.
+// applySettings replaces the settings.
+// Counts of a class that is removed, or whose index is used for another class, are dropped.
+// All else that was learned is kept.
 func (b *Balancer) applySettings(cfg *Config) {
 	before := b.settings
 	b.settings = cfg
--- a/balance/settings_test.go
+++ b/balance/settings_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestSettingsReplaced checks that a request in progress keeps the settings of its arrival: its class, idempotency and
-// number of attempts. The counts of a removed class are dropped, and what was learned about upstreams is kept.
+// TestSettingsReplaced checks that a request in progress keeps the settings of its arrival: its class,
+// idempotency and number of attempts.
+// The counts of a removed class are dropped, and what was learned about upstreams is kept.
 func TestSettingsReplaced(t *testing.T) {
 	cfg := testConfig()
 	b := New(cfg, 1, 0)
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -3,20 +3,22 @@
 // Slow start: the limit on attempts to an upstream that has just started.
 
 const (
-	// warmRateTimeConstant is the time constant, in ms, of a falling warm rate. The rate of the first
-	// measurements is an arithmetic mean over this time.
+	// warmRateTimeConstant is the time constant, in ms, of a falling warm rate.
+	// The rate of the first measurements is an arithmetic mean over this time.
 	warmRateTimeConstant = 2000.0
 	minWarmFraction      = 0.01 // lower bound of the warm fraction of an upstream
 )
 
-// slowStartRate measures the rate of attempts at warm upstreams, by which the slow start tokens are refilled.
+// slowStartRate measures the rate of attempts at warm upstreams.
+// The slow start tokens are refilled at that rate.
 type slowStartRate struct {
 	warmRate    float64 // attempts per ms from this instance to one warm upstream
 	measuredFor Millis  // total time of the measurements
 }
 
-// update adds the rate of attempts at a warm upstream since the last tick. The mean rises slowly, because
-// warm upstreams withstand larger bursts than those that are warming up. It falls faster than it rises.
+// update adds the rate of attempts at a warm upstream since the last tick.
+// The mean rises slowly, because warm upstreams withstand larger bursts than those that are warming up.
+// It falls faster than it rises.
 func (s *slowStartRate) update(rate float64, elapsed, slowStartDuration Millis) {
 	s.measuredFor += elapsed
 	timeConstant := warmRateTimeConstant
@@ -29,8 +31,8 @@
 	s.warmRate += (rate - s.warmRate) * min(1, elapsed/timeConstant)
 }
 
-// warmFraction returns the fraction of its capacity that an upstream has at least: 1 when it is warm, and
-// less while it is warming up.
+// warmFraction returns the minimum fraction of its capacity that an upstream has.
+// It is 1 for a warm upstream, and less for one that is warming up.
 func (b *Balancer) warmFraction(u *upstream) float64 {
 	age := b.now - u.StartedAt
 	duration := b.settings.SlowStartDuration
@@ -41,15 +43,15 @@
 	return max(minWarmFraction, initial+(1-initial)*max(0, age)/duration)
 }
 
-// slowStartAllows reports whether an upstream is warm or has a slow start token for one more attempt. Each
-// instance sends to an upstream that is warming up at most its warm fraction of what it sends to a warm one.
+// slowStartAllows reports whether an upstream is warm or has a slow start token for one more attempt.
+// An instance sends to a warming upstream at most the warm fraction of what it sends to a warm one.
 // All instances together thus stay far below OverloadMultiple, at which the upstream fails.
 func (b *Balancer) slowStartAllows(u *upstream) bool {
 	return u.slowStartTokens >= 1 || b.warmFraction(u) == 1
 }
 
-// refillSlowStart measures the rate of attempts at warm upstreams and refills the slow start tokens at that
-// rate, up to one token per upstream. The rate is at least one attempt per OverloadDuration over all
+// refillSlowStart measures the rate of attempts at warm upstreams and refills the slow start tokens
+// at that rate, up to one token per upstream. The rate is at least one attempt per OverloadDuration over all
 // replicas, so that it is not 0 without any measurement.
 func (b *Balancer) refillSlowStart(elapsed Millis) {
 	b.measureWarmRate(elapsed)
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestWarmingUpstreamGetsItsShare checks that a warming upstream gets at most its warm fraction of what a warm one gets.
+// TestWarmingUpstreamGetsItsShare checks that a warming upstream gets little more than its warm fraction
+// of the requests that a warm one gets.
 func TestWarmingUpstreamGetsItsShare(t *testing.T) {
 	cfg := testConfig()
 	f := newWarmHost(t, cfg, 6)
@@ -50,7 +51,8 @@
 	return f
 }
 
-// play reports rate requests per second to each instance for the given time in ms, after a burst of requests at once.
+// play reports rate requests per second to each instance for the given time in ms,
+// after a burst of requests at once.
 func (f *burstFleet) play(ms Millis, rate float64, burst int) {
 	clear(f.attempts)
 	for end := f.hosts[0].now + ms; f.hosts[0].now < end; burst = 0 {
@@ -68,8 +70,8 @@
 	}
 }
 
-// completeNewAttempts counts the attempts that were sent at the present time. Those that do not end at once will succeed
-// after 100 ms.
+// completeNewAttempts counts the attempts that were sent at the present time.
+// Those that do not end at once will succeed after 100 ms.
 func (f *fakeHost) completeNewAttempts(attempts map[UpstreamID]int) {
 	for _, r := range f.arrivals {
 		for _, a := range r.attempts {
@@ -94,8 +96,8 @@
 	}
 }
 
-// TestWarmingUpstreamInABurst checks that all instances together do not overload upstreams that are warming up, even in a
-// burst after little traffic and if most upstreams are warming up.
+// TestWarmingUpstreamInABurst checks that all instances together do not overload upstreams that are warming
+// up, even in a burst after little traffic and if most upstreams are warming up.
 func TestWarmingUpstreamInABurst(t *testing.T) {
 	const instances, warm, warming = 30, 1, 10
 	for seed := range uint64(10) {
@@ -128,8 +130,8 @@
 	}
 }
 
-// TestNewInstanceWithWarmingUpstreamsOnly checks that a new instance sends few attempts if all upstreams are warming up: it
-// has not measured the rate of warm upstreams.
+// TestNewInstanceWithWarmingUpstreamsOnly checks that a new instance sends few attempts
+// if all upstreams are warming up: it has not measured the rate of warm upstreams.
 func TestNewInstanceWithWarmingUpstreamsOnly(t *testing.T) {
 	f := newFakeHost(t, testConfig(), 9)
 	all := testEndpoints(6)
@@ -146,8 +148,8 @@
 	}
 }
 
-// slowStartLimit returns the maximum number of requests that a warming upstream may get in OverloadDuration. It is the
-// number that the settings allow, plus a margin for random variation.
+// slowStartLimit returns the maximum number of requests that a warming upstream may get in OverloadDuration.
+// It is the number that the settings allow, plus a margin for random variation.
 func slowStartLimit(allowed float64) float64 {
 	if allowed < 30 {
 		return allowed + 3*math.Sqrt(allowed) + 3
@@ -166,7 +168,7 @@
 // evenShares returns equal shares of the traffic.
 func evenShares(instances int) []float64 { return slices.Repeat([]float64{1}, instances) }
 
-// unevenShares returns shares by which a tenth of the instances gets five times the mean traffic, and the others the rest.
+// unevenShares gives a tenth of the instances five times the mean traffic, and the rest to the others.
 func unevenShares(instances int) []float64 {
 	shares := slices.Repeat([]float64{0.56}, instances)
 	for i := 0; i < instances; i += 10 {
@@ -189,7 +191,8 @@
 	return f
 }
 
-// play reports rate requests per second to the whole fleet for the given time in ms, after a burst of requests at once.
+// play reports rate requests per second to the whole fleet for the given time in ms,
+// after a burst of requests at once.
 func (f *fleet) play(ms Millis, rate float64, burst int) {
 	clear(f.attempts)
 	sum := 0.0
@@ -209,9 +212,9 @@
 	}
 }
 
-// TestSlowStartForAnyNumberOfInstances checks that all instances together do not overload upstreams that are warming up,
-// for any number of instances and for uneven traffic. The traffic is either steady, or a burst after little traffic, in
-// which each instance may have saved one slow start token per upstream.
+// TestSlowStartForAnyNumberOfInstances checks that all instances together do not overload upstreams
+// that are warming up, for any number of instances and for uneven traffic. The traffic is either steady,
+// or a burst after little traffic, in which each instance may have saved one slow start token per upstream.
 func TestSlowStartForAnyNumberOfInstances(t *testing.T) {
 	const warm, warming, rate = 1, 10, 60.0 // numbers of upstreams, and requests per second to all instances
 	for _, instances := range []int{1, 2, 3, 10, 30, 100, 300, 900} {
--- a/balance/spillover.go
+++ b/balance/spillover.go
@@ -4,7 +4,7 @@
 
 const (
 	spilloverInterval    = 1000.0 // ms between two adjustments of the fraction
-	spilloverStep        = 0.1    // change per adjustment: small, as all instances of a zone adjust together
+	spilloverStep        = 0.1    // change per adjustment: small, as all instances of a zone may move at once
 	probeFraction        = 0.02   // minimum fraction of requests for each zone class, to measure it
 	minLocalOutcomes     = 10     // outcomes from the local zone that a comparison needs
 	minRemoteOutcomes    = 2      // outcomes from remote zones that a comparison needs
@@ -34,8 +34,8 @@
 	}
 }
 
-// preferredZone returns the zone class for a request, chosen at random by the spillover fraction. If that one
-// has no capacity and the other one has, it returns the other one.
+// preferredZone returns the zone class for a request, chosen at random by the spillover fraction.
+// If that one has no capacity and the other one has, it returns the other one.
 func (b *Balancer) preferredZone(r *request) int {
 	first := localZone
 	if b.rng.Float64() < max(probeFraction, b.spillover.fraction) {
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -1,8 +1,8 @@
 package balance
 
-// Subsetting: an instance with few requests in flight uses only a subset of each zone class. If it used all
-// upstreams of a large fleet, its own requests in flight would say nothing about their load, and idle
-// connections would be closed before they are used again.
+// Subsetting: an instance with few requests in flight uses only a subset of each zone class.
+// If it used all upstreams of a large fleet, its own requests in flight would say nothing about their load,
+// and idle connections would be closed before they are used again.
 
 import "math"
 
@@ -17,10 +17,11 @@
 	rings        [zoneClasses][]*upstream // upstreams of each zone class; the memory is reused
 }
 
-// selectSubsets selects a subset of each zone class. It has as many usable upstreams as this instance
-// recently had attempts in flight at once. All instances select from the same ring of upstreams, each from
-// its own start. From one instance to the next the start moves on by the golden ratio of the ring, which
-// spreads the starts of any number of instances evenly.
+// selectSubsets selects a subset of each zone class.
+// It has as many usable upstreams as this instance recently had attempts in flight at once.
+// All instances select from the same ring of upstreams, each from its own start.
+// From one instance to the next the start moves on by the golden ratio of the ring,
+// which spreads the starts of any number of instances evenly.
 func (b *Balancer) selectSubsets() {
 	b.subset.peakInFlight = max(b.subset.peakInFlight*peakDecay, float64(b.inFlight()))
 	target := max(minSubset, b.subset.peakInFlight)
@@ -31,8 +32,8 @@
 	}
 }
 
-// updateRings assigns the upstreams that are not removed to the rings of their zone classes, sorted by sort
-// key.
+// updateRings adds each upstream that is not removed to the ring of its zone class,
+// in the order of the sort keys.
 func (b *Balancer) updateRings() {
 	rings := &b.subset.rings
 	for zone := range rings {
@@ -47,8 +48,8 @@
 }
 
 // selectSubset selects consecutive upstreams from the ring of a zone class, from startFraction of the ring
-// on, until the sum of their warm fractions reaches target. Upstreams that are ejected, draining or warming
-// up are thus compensated by additional ones.
+// on, until the sum of their warm fractions reaches target.
+// Upstreams that are ejected, draining or warming up are thus compensated by additional ones.
 func (b *Balancer) selectSubset(zone int, target, startFraction float64) {
 	ring := b.subset.rings[zone]
 	first := int(startFraction * float64(len(ring)))
--- a/balance/throttle.go
+++ b/balance/throttle.go
@@ -1,7 +1,7 @@
 package balance
 
-// Throttle: adaptive throttling of new requests. From this instance's own counts in the accept window, it
-// rejects the following fraction of the requests, if that is above 0:
+// Throttle: adaptive throttling of new requests. From this instance's own counts in the accept window,
+// it rejects the following fraction of the requests, if that is above 0:
 //
 //	(requests - K * accepts) / (requests + 1)
 
@@ -13,9 +13,9 @@
 	fullAcceptFraction    = 0.35 // fraction of the latency objective: an earlier response is a full accept
 )
 
-// throttled reports whether to reject a new request. The formula gives the total number of requests to
-// reject. Requests of the lowest weights are rejected first, because the probability of a rejection is
-// inversely proportional to the square of the weight.
+// throttled reports whether to reject a new request.
+// The formula gives the total number of requests to reject. Requests of the lowest weights are rejected
+// first: the probability of a rejection is inversely proportional to the square of the weight.
 func (b *Balancer) throttled(r *request) bool {
 	if b.window.total.requests < minRequests || b.underutilized() {
 		return false
@@ -38,10 +38,10 @@
 	return (total.requests - multiplier*total.accepts) * total.requests / (total.requests + 1)
 }
 
-// rejectionFactor returns the factor for which the given volume of requests is rejected, over all classes,
-// when a request is rejected with the probability factor / (weight * weight), at most 1. Each iteration
-// raises the factor, because the classes that are already rejected completely leave the rest of the volume to
-// the others.
+// rejectionFactor returns the factor for which the rejected requests of all classes add
+// up to the given volume. A request is rejected with the probability factor / (weight * weight), at most 1.
+// Each iteration raises the factor: a class that is rejected completely leaves the rest
+// of the volume to the others.
 func (b *Balancer) rejectionFactor(volume float64) float64 {
 	factor := 0.0
 	for range b.window.byClass {
@@ -70,8 +70,8 @@
 	return float64(b.inFlight()) < underutilizedFraction*b.totalCapacity()
 }
 
-// countOutcome counts the outcome of an attempt in the accept window, and adjusts the concurrency limit by
-// it.
+// countOutcome counts the outcome of an attempt in the accept window,
+// and adjusts the concurrency limit by it.
 func (b *Balancer) countOutcome(r *request, a *attempt, outcome Outcome, elapsed Millis) {
 	if outcome >= Cancelled { // says nothing about the upstreams
 		return
@@ -88,10 +88,10 @@
 	b.updateLimitByOutcome(b.zoneOf(a.upstream), outcome, ratio)
 }
 
-// acceptFraction returns the accept, from 0 to 1, that a response to a request counts as if it arrives now. A
-// late response counts as 0. One that is almost late counts in part, because the queue that delayed it makes
-// the next responses late. Inner tiers do not know the latency objective, so every response counts as 1
-// there.
+// acceptFraction returns how far a response to a request counts as an accept if it arrives now, from 0 to 1.
+// A late response counts as 0. A response that is almost late counts in part,
+// because the queue that delayed it makes the next responses late.
+// Inner tiers do not know the latency objective, so every response counts as 1 there.
 func (b *Balancer) acceptFraction(r *request) float64 {
 	if b.settings.Tier > 0 {
 		return 1
--- a/balance/throttle_test.go
+++ b/balance/throttle_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestUnderutilizedInstanceDoesNotReject checks that an instance with few attempts in flight rejects nothing: with few
-// accepts in the window, the formula alone would admit too few requests to detect a recovery.
+// TestUnderutilizedInstanceDoesNotReject checks that an instance with few attempts in flight rejects nothing:
+// with few accepts in the window, the formula alone would admit too few requests to detect a recovery.
 func TestUnderutilizedInstanceDoesNotReject(t *testing.T) {
 	for tier := range 2 {
 		cfg := twoClasses(1, 1)
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestWindowFollowsTraffic checks that the window gets longer with little traffic, until it holds enough requests for the
-// formula.
+// TestWindowFollowsTraffic checks that the window gets longer with little traffic,
+// until it holds enough requests for the formula.
 func TestWindowFollowsTraffic(t *testing.T) {
 	for _, perSecond := range []float64{1, 3, 50} {
 		b := New(testConfig(), 1, 0)
@@ -154,8 +154,8 @@
 	}
 }
 
-// TestOneFailingClass checks that requests of the lowest weight are rejected first if one class fails. The counts of all
-// classes are added up, so the failures of one class cause rejections in the others.
+// TestOneFailingClass checks that requests of the lowest weight are rejected first if one class fails.
+// The counts of all classes are added up, so the failures of one class cause rejections in the others.
 func TestOneFailingClass(t *testing.T) {
 	tests := []struct {
 		name      string
--- a/balance/window.go
+++ b/balance/window.go
@@ -1,7 +1,6 @@
 package balance
 
-// Accept window: the sliding window of finished requests on which the throttle and the retry budget are
-// based.
+// Accept window: the sliding window of finished requests that the throttle and the retry budget are based on.
 
 const (
 	bucketCount              = 6 // gives a window of 3 s, or of up to 30 s with little traffic
@@ -30,7 +29,7 @@
 	return acceptWindow{bucketStart: now, bucketEnd: now + bucketDuration}
 }
 
-// count counts one finished request and its accept, from 0 to 1.
+// count counts one finished request, and adds its accept fraction, from 0 to 1, to the accepts.
 func (w *acceptWindow) count(class uint8, accept float64) {
 	bucket := &w.buckets[w.current][class]
 	for _, c := range [...]*windowCount{bucket, &w.byClass[class], &w.total} {
@@ -39,8 +38,8 @@
 	}
 }
 
-// closeBucket closes the current bucket. It drops the oldest bucket, which becomes the current one. It
-// returns false if the current bucket stays open for another bucketDuration instead.
+// closeBucket closes the current bucket. It drops the oldest bucket, which becomes the current one.
+// It returns false if the current bucket stays open for another bucketDuration instead.
 func (w *acceptWindow) closeBucket() bool {
 	next := (w.current + 1) % bucketCount
 	staysOpen := w.staysOpen(next)
@@ -59,9 +58,9 @@
 	return true
 }
 
-// staysOpen reports whether the current bucket stays open, because the window without its oldest bucket would
-// hold too few requests. Otherwise an instance with little traffic would never have enough requests for the
-// formula.
+// staysOpen reports whether the current bucket stays open because the window without its oldest
+// bucket would hold too few requests.
+// Otherwise an instance with little traffic would never have enough requests for the formula.
 func (w *acceptWindow) staysOpen(oldest int) bool {
 	remaining := w.total.requests
 	for _, c := range w.buckets[oldest] {
--- a/balance/zone.go
+++ b/balance/zone.go
@@ -10,7 +10,7 @@
 
 const (
 	zoneOutcomeGain = 0.05 // weight of the newest outcome in the means of a zone class
-	maxSlowdown     = 4.0  // upper bound, so that one expensive request does not make a zone look slow
+	maxSlowdown     = 4.0  // upper bound of a slowdown: one expensive request must not make a zone look slow
 )
 
 // zoneClass is the state of the upstreams of one zone class.
@@ -58,14 +58,13 @@
 	return b.zones[localZone].warmEquivalents + b.zones[remoteZones].warmEquivalents
 }
 
-// totalCapacity returns the number of attempts that may be in flight at all usable upstreams together, at
-// least 1.
+// totalCapacity returns the number of attempts that may be in flight at all usable upstreams, at least 1.
 func (b *Balancer) totalCapacity() float64 {
 	return max(1, b.zones[localZone].limit()+b.zones[remoteZones].limit())
 }
 
-// updateZoneCapacity sums the warm fractions of the usable upstreams of each zone class. If no upstream is
-// usable, it counts all available ones, since they may only seem to fail.
+// updateZoneCapacity sums the warm fractions of the usable upstreams of each zone class.
+// If no upstream is usable, it counts all available ones, since they may only seem to fail.
 func (b *Balancer) updateZoneCapacity() {
 	b.zones[localZone].warmEquivalents = 0
 	b.zones[remoteZones].warmEquivalents = 0
