--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -41,7 +41,7 @@
 	respondBy    balance.Millis // as set last
 }
 
-func (s *testServer) Accept(x *exchange.Exchange)             { s.accepted <- x }
+func (s *testServer) HandleRequest(x *exchange.Exchange)      { s.accepted <- x }
 func (s *testServer) RequestComplete(x *exchange.Exchange)    { s.completed <- x }
 func (s *testServer) ClientDisconnected(x *exchange.Exchange) { s.disconnected <- x }
 func (s *testServer) SetShutdownDeadline(at balance.Millis)   { s.respondBy = at }
@@ -58,7 +58,7 @@
 	}
 	s.server = NewServer(Options{
 		Loop:          s.Loop,
-		Table:         loop.NewDescriptorTable(descriptors),
+		Descriptors:   loop.NewDescriptorTable(descriptors),
 		Buffers:       bodystream.NewBufferPool(8),
 		OverflowLimit: overflowLimit,
 		Counters:      &s.Count,
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -18,8 +18,8 @@
 
 // RequestHandler handles requests. Responses come back by the exchange.
 type RequestHandler interface {
-	// Accept handles a new request. The response may be given before Accept returns.
-	Accept(*exchange.Exchange)
+	// HandleRequest handles a new request. The response may be given before HandleRequest returns.
+	HandleRequest(*exchange.Exchange)
 	// ClientDisconnected reports that the client no longer waits for its response, or that its body was rejected.
 	ClientDisconnected(*exchange.Exchange)
 	// RequestComplete reports the last byte of a request that was accepted without it.
@@ -31,7 +31,7 @@
 // Options is what a server works with.
 type Options struct {
 	Loop          *loop.Loop
-	Table         *loop.DescriptorTable
+	Descriptors   *loop.DescriptorTable
 	OverflowLimit int // connections beyond the table, whose requests are rejected with 503
 	Counters      *counter.Set
 	Buffers       *bodystream.BufferPool
@@ -86,7 +86,7 @@
 		counters:       newCounters(o.Counters),
 	}
 	o.Counters.Gauge("client_connections_open", func() uint64 { return uint64(len(s.conns)) })
-	s.quota = o.Table.NewQuota(s.shedIdle)
+	s.quota = o.Descriptors.NewQuota(s.shedIdle)
 	return s
 }
 
--- a/internal/http1/golden_test.go
+++ b/internal/http1/golden_test.go
@@ -114,7 +114,7 @@
 }
 
 // The exact bytes of the head of a streamed response.
-func TestStreamHeadBytes(t *testing.T) {
+func TestStreamedResponseHeadBytes(t *testing.T) {
 	for _, tt := range []struct {
 		length          int64
 		chunked, closes bool
@@ -126,7 +126,7 @@
 		{-1, true, true, "Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n"},
 		{-1, false, true, "Connection: close\r\n\r\n"},
 	} {
-		if got := string(AppendStreamHead(nil, StreamHead{tt.length, tt.chunked, tt.closes})); got != "HTTP/1.1 200 OK\r\n"+tt.want {
+		if got := string(AppendStreamedResponseHead(nil, StreamedResponseHead{tt.length, tt.chunked, tt.closes})); got != "HTTP/1.1 200 OK\r\n"+tt.want {
 			t.Errorf("got  %q\nwant %q", got, tt.want)
 		}
 	}
--- a/internal/http1/response_encoder.go
+++ b/internal/http1/response_encoder.go
@@ -33,16 +33,16 @@
 	return append(p, body...)
 }
 
-// StreamHead describes the head of a 200 response whose body is streamed. A body of unknown length that is not chunked ends with
+// StreamedResponseHead describes the head of a 200 response whose body is streamed. A body of unknown length that is not chunked ends with
 // the connection.
-type StreamHead struct {
+type StreamedResponseHead struct {
 	ContentLength int64 // -1 if it is not known
 	Chunked       bool
 	Close         bool // announces that the connection ends with the response
 }
 
-// AppendStreamHead encodes the head of a streamed response. A BodyEncoder encodes its body.
-func AppendStreamHead(p []byte, head StreamHead) []byte {
+// AppendStreamedResponseHead encodes the head of a streamed response. A BodyEncoder encodes its body.
+func AppendStreamedResponseHead(p []byte, head StreamedResponseHead) []byte {
 	p = slices.Grow(p, maxResponseHeadBytes)
 	p = appendStatusLine(p, StatusOK)
 	switch {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -91,7 +91,7 @@
 func (n *Node) createSides(r resources) {
 	n.server = downstream.NewServer(downstream.Options{
 		Loop:          n.loop,
-		Table:         n.descriptors,
+		Descriptors:   n.descriptors,
 		OverflowLimit: r.overflowConnections,
 		Counters:      &n.Counters,
 		Buffers:       n.bodyBuffers,
