--- a/internal/bodystream/pool.go
+++ b/internal/bodystream/pool.go
@@ -1,30 +1,30 @@
 package bodystream
 
-// BufferSize is the size of a buffer, in bytes.
+// BufferSize is the size of a buffer in bytes.
 const BufferSize = 32 << 10
 
-// BufferPool lends buffers to streams, up to its limit. It belongs to one loop: it is not safe for concurrent use.
+// BufferPool lends buffers to streams, up to a limit. It is not safe for concurrent use: it belongs to one event loop.
 type BufferPool struct {
-	limit   int
-	inUse   int
-	free    [][]byte
-	waiting []*Stream // for a buffer, the longest waiting first
+	limit   int       // number of buffers that may be in use
+	inUse   int       // number of buffers that streams hold
+	free    [][]byte  // allocated buffers that no stream holds
+	waiting []*Stream // streams that wait for a buffer, the longest waiting first
 }
 
-// NewBufferPool returns a pool of at least one buffer. Buffers are allocated when they are first needed.
+// NewBufferPool returns a pool with the given number of buffers, at least one. Each buffer is allocated when it is first needed.
 func NewBufferPool(buffers int) *BufferPool { return &BufferPool{limit: max(1, buffers)} }
 
-// SetLimit changes the number of buffers. Those in use beyond it are not lent again.
+// SetLimit changes the number of buffers. If more are in use, they stay with their streams and are freed when they are returned.
 func (p *BufferPool) SetLimit(buffers int) {
 	p.limit = max(1, buffers)
 	p.free = p.free[:min(len(p.free), p.limit)]
 	p.notifyWaiting()
 }
 
-// InUse returns the number of buffers in use.
+// InUse returns the number of buffers that streams hold.
 func (p *BufferPool) InUse() int { return p.inUse }
 
-// get lends a buffer, nil if there is none.
+// get returns a buffer, or nil if all of them are in use.
 func (p *BufferPool) get() []byte {
 	if p.inUse >= p.limit {
 		return nil
@@ -38,7 +38,7 @@
 	return make([]byte, BufferSize)
 }
 
-// put takes a buffer back.
+// put returns a buffer to the pool and notifies waiting streams.
 func (p *BufferPool) put(buffer []byte) {
 	p.inUse--
 	if p.inUse+len(p.free) < p.limit {
@@ -47,10 +47,10 @@
 	p.notifyWaiting()
 }
 
-// enqueue lets a stream wait for a buffer.
+// enqueue adds a stream to the end of the queue for buffers.
 func (p *BufferPool) enqueue(s *Stream) { p.waiting = append(p.waiting, s) }
 
-// dequeue ends a stream's wait.
+// dequeue removes a stream from the queue for buffers.
 func (p *BufferPool) dequeue(s *Stream) {
 	for i, waiting := range p.waiting {
 		if waiting == s {
@@ -60,7 +60,8 @@
 	}
 }
 
-// notifyWaiting offers the available buffers to the streams that wait, in order. A stream may call back into the pool.
+// notifyWaiting offers the available buffers to the waiting streams, the longest waiting first. The callback of a stream may call
+// methods of the pool.
 func (p *BufferPool) notifyWaiting() {
 	for n := p.limit - p.inUse; n > 0 && len(p.waiting) > 0; n-- {
 		s := p.waiting[0]
--- a/internal/bodystream/stream.go
+++ b/internal/bodystream/stream.go
@@ -1,47 +1,49 @@
-// Package bodystream carries the body of a message from the side that reads it to the side that writes it, through one bounded
-// buffer. The faster side waits for the slower one: each is called back when it can go on. The package does no I/O, and a stream
-// belongs to one loop.
+// Package bodystream passes the body of a message from the connection that receives it to the connection that sends it, through
+// one buffer of fixed size. It provides backpressure in both directions: a side that can't continue is called back when it can.
+// The package does no I/O. A stream is not safe for concurrent use: all its methods have to be called on one event loop.
 package bodystream
 
 import "salttrack/internal/invariant"
 
-// State is how far a stream is.
+// State is the state of a stream.
 type State uint8
 
 // The states of a stream.
 const (
-	Streaming  State = iota
-	Complete         // the writer has written all of it; some of it may still have to be read
-	Incomplete       // the writer writes no more, and it is not all
-	Abandoned        // the reader reads no more
+	Streaming  State = iota // the writer has not ended the body yet
+	Complete                // the writer has written the whole body; the reader may not have read all of it
+	Incomplete              // the writer has ended the stream before the end of the body
+	Abandoned               // the reader has ended the stream and discards the rest of the body
 )
 
-// Stream is a body with one writer and one reader.
+// Stream passes a body from one writer to one reader.
 type Stream struct {
-	Length int64 // of the body in bytes, -1 if it is not known
+	Length int64 // length of the body in bytes, -1 if unknown
 
 	pool           *BufferPool
-	prepended      []byte // received before the stream began, read first
-	buffer         []byte // nil while it is empty
-	start          int    // of the unread bytes in buffer
-	end            int
+	prepended      []byte // bytes that were received before the stream was created; they are read first
+	buffer         []byte // borrowed from the pool; nil while the stream has no unread bytes in it
+	start          int    // index of the first unread byte in buffer
+	end            int    // index after the last unread byte in buffer
 	state          State
-	awaitingBuffer bool // in the pool's queue
-	bufferOffered  bool // by the pool, and not taken yet
-	onReadable     func()
-	onWritable     func()
+	awaitingBuffer bool   // the stream is in the pool's queue
+	bufferOffered  bool   // the pool has offered a buffer that the stream has not taken yet
+	onReadable     func() // may be nil
+	onWritable     func() // may be nil
 }
 
-// New returns a stream of a body with a length in bytes, -1 if it is not known.
+// New returns a stream for a body of the given length in bytes, -1 if unknown.
 func New(p *BufferPool, length int64) *Stream { return &Stream{Length: length, pool: p} }
 
-// Prepend sets what was received of the body before the stream begins. The stream owns it from now on.
+// Prepend sets the part of the body that was received before the stream was created. The stream takes ownership of p.
 func (s *Stream) Prepend(p []byte) { s.prepended = p }
 
-// OnWritable sets what is called when Available may have grown, or the reader has abandoned the stream.
+// OnWritable sets the function that is called when Available may return more than before, or when the reader has abandoned the
+// stream.
 func (s *Stream) OnWritable(notify func()) { s.onWritable = notify }
 
-// OnReadable sets what is called when there are bytes to read, or the stream is complete or incomplete. Nil is for nobody.
+// OnReadable sets the function that is called when there are bytes to read or the writer has ended the stream. A nil function
+// removes the callback.
 func (s *Stream) OnReadable(notify func()) { s.onReadable = notify }
 
 func (s *Stream) notifyReader() {
@@ -56,10 +58,11 @@
 	}
 }
 
-// State returns how far the stream is.
+// State returns the state of the stream.
 func (s *Stream) State() State { return s.state }
 
-// Available returns how many bytes may be written. If there are none, the writer is called back when that changes.
+// Available returns how many bytes may be written now. If it returns 0 while the stream is in the state Streaming, the OnWritable
+// function is called when there may be space again.
 func (s *Stream) Available() int {
 	if s.state != Streaming || len(s.prepended) > 0 {
 		return 0
@@ -72,7 +75,7 @@
 	return len(s.buffer) - s.end
 }
 
-// acquireBuffer takes a buffer of the pool, or waits for one.
+// acquireBuffer takes a buffer from the pool. If the pool has none left, it enters the stream into the pool's queue.
 func (s *Stream) acquireBuffer() {
 	s.bufferOffered = false
 	s.buffer = s.pool.get()
@@ -82,7 +85,7 @@
 	}
 }
 
-// compact moves the unread bytes to the front of the buffer, if they are few and at its end.
+// compact moves the unread bytes to the front of the buffer if they fill at most half of it and end in its second half.
 func (s *Stream) compact() {
 	half := len(s.buffer) / 2
 	if s.start > 0 && s.end >= half && s.end-s.start <= half {
@@ -91,16 +94,17 @@
 	}
 }
 
-// Write appends bytes, at most as many as Available has returned. They are passed to the reader by Flush.
+// Write appends p, which must not be longer than Available has returned. The reader is notified by Flush, not by Write. Write
+// does nothing after the stream has ended.
 func (s *Stream) Write(p []byte) {
 	if s.state != Streaming {
 		return
 	}
-	invariant.Check(s.buffer != nil && len(p) <= len(s.buffer)-s.end, "no more is written to a stream than is available")
+	invariant.Check(s.buffer != nil && len(p) <= len(s.buffer)-s.end, "no more bytes are written to a stream than are available")
 	s.end += copy(s.buffer[s.end:], p)
 }
 
-// Flush calls the reader if there are bytes to read, and gives the buffer back otherwise.
+// Flush notifies the reader if there are bytes to read. Otherwise it returns the buffer to the pool.
 func (s *Stream) Flush() {
 	if s.end > s.start || len(s.prepended) > 0 {
 		s.notifyReader()
@@ -109,10 +113,10 @@
 	}
 }
 
-// Finish ends the stream after its last byte.
+// Finish ends the stream after the last byte of the body.
 func (s *Stream) Finish() { s.endWriting(Complete) }
 
-// Abort ends the stream before its last byte, and drops what has not been read.
+// Abort ends the stream before the last byte of the body and discards the unread bytes.
 func (s *Stream) Abort() {
 	if s.state == Streaming {
 		s.discard()
@@ -120,10 +124,10 @@
 	s.endWriting(Incomplete)
 }
 
-// Truncate ends the stream before its last byte. What has been written can still be read.
+// Truncate ends the stream before the last byte of the body. Bytes that have been written can still be read.
 func (s *Stream) Truncate() { s.endWriting(Incomplete) }
 
-// endWriting sets the final state by the writer, once.
+// endWriting ends the stream for the writer in the given state. It does nothing if the stream has already ended.
 func (s *Stream) endWriting(final State) {
 	if s.state != Streaming {
 		return
@@ -137,7 +141,7 @@
 	s.notifyReader()
 }
 
-// Abandon ends the stream for a reader that wants no more of it.
+// Abandon ends the stream on behalf of the reader and discards the unread bytes.
 func (s *Stream) Abandon() {
 	previous := s.state
 	s.state = Abandoned
@@ -151,14 +155,14 @@
 	s.onWritable = nil
 }
 
-// discard drops what has not been read. The buffer is kept.
+// discard drops the unread bytes but keeps the buffer.
 func (s *Stream) discard() {
 	s.prepended = nil
 	s.start = 0
 	s.end = 0
 }
 
-// Peek returns bytes that can be read now, none if there are none. They are valid until the next call of another method.
+// Peek returns bytes that can be read now, or an empty slice. The slice is valid until the next call of another method.
 func (s *Stream) Peek() []byte {
 	if len(s.prepended) > 0 {
 		return s.prepended
@@ -166,7 +170,7 @@
 	return s.buffer[s.start:s.end]
 }
 
-// Consume records that the reader has read n bytes of what Peek returned, and calls the writer if it can go on.
+// Consume removes the first n bytes of the slice that Peek returned, and notifies the writer if it may be able to continue.
 func (s *Stream) Consume(n int) {
 	if len(s.prepended) > 0 {
 		s.prepended = s.prepended[n:]
@@ -185,7 +189,7 @@
 	}
 }
 
-// releaseBuffer gives the buffer back to the pool, if there is one.
+// releaseBuffer returns the buffer, if the stream has one, to the pool.
 func (s *Stream) releaseBuffer() {
 	s.start = 0
 	s.end = 0
@@ -195,7 +199,7 @@
 	}
 }
 
-// stopWaiting leaves the pool's queue. A buffer that was offered and not taken goes to the next stream.
+// stopWaiting removes the stream from the pool's queue. A buffer that was offered but not taken is offered to the next stream.
 func (s *Stream) stopWaiting() {
 	if s.bufferOffered {
 		s.bufferOffered = false
--- a/internal/bodystream/stream_test.go
+++ b/internal/bodystream/stream_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// stream is a stream of the property test, with what was written to it and read from it.
+// stream is a Stream that records the bytes that were written to it and read from it.
 type stream struct {
 	*Stream
 	written  []byte
 	read     []byte
-	writable bool // the writer may ask for Available: its last call returned bytes, or it was called back
+	writable bool // the writer may call Available: its last call did not return 0, or OnWritable's function was called since
 }
 
-// newStream draws a stream, perhaps with prepended bytes.
+// newStream returns a stream with 0 to 5 random prepended bytes.
 func newStream(t *rapid.T, p *BufferPool) *stream {
 	s := &stream{Stream: New(p, -1), writable: true}
 	s.OnWritable(func() { s.writable = true })
@@ -27,27 +27,27 @@
 	return s
 }
 
-// write writes at most n bytes that go on counting from next, and returns the byte that follows.
-func (s *stream) write(n int, next byte) byte {
+// write writes up to n bytes, as many as are available. Their values count up from last+1; it returns the last value written.
+func (s *stream) write(n int, last byte) byte {
 	available := 0
 	if s.writable {
 		available = s.Available()
 	}
 	s.writable = available > 0
 	if !s.writable {
-		return next
+		return last
 	}
 	start := len(s.written)
 	for range min(available, n) {
-		next++
-		s.written = append(s.written, next)
+		last++
+		s.written = append(s.written, last)
 	}
 	s.Write(s.written[start:])
 	s.Flush()
-	return next
+	return last
 }
 
-// consume reads at most n bytes.
+// consume reads up to n bytes.
 func (s *stream) consume(n int) {
 	p := s.Peek()
 	p = p[:min(len(p), n)]
@@ -55,8 +55,8 @@
 	s.Consume(len(p))
 }
 
-// For any sizes of writes and reads, and any number of streams on one pool: each stream carries what was written, in order, the
-// pool's limit holds, and all buffers are given back.
+// For all sizes of writes and reads, and for one or more streams on one pool, each stream has to return the bytes that were
+// written to it in order, the number of buffers in use must not exceed the pool's limit, and all buffers have to be returned.
 func TestStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		buffers := rapid.IntRange(1, 3).Draw(t, "buffers")
@@ -65,12 +65,12 @@
 		for range rapid.IntRange(1, 4).Draw(t, "streams") {
 			streams = append(streams, newStream(t, p))
 		}
-		next := byte(0)
+		last := byte(0)
 		for range 60 {
 			s := streams[rapid.IntRange(0, len(streams)-1).Draw(t, "stream")]
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1, 2:
-				next = s.write(rapid.SampledFrom([]int{0, 1, 100, BufferSize / 2, BufferSize}).Draw(t, "write"), next)
+				last = s.write(rapid.SampledFrom([]int{0, 1, 100, BufferSize / 2, BufferSize}).Draw(t, "write"), last)
 			case 3, 4:
 				s.consume(rapid.SampledFrom([]int{1, 1000, BufferSize}).Draw(t, "read"))
 			case 5:
@@ -79,20 +79,20 @@
 				}
 			}
 			if p.InUse() > buffers {
-				t.Fatalf("%d buffers of %d are in use", p.InUse(), buffers)
+				t.Fatalf("%d buffers are in use, the limit is %d", p.InUse(), buffers)
 			}
 		}
-		for _, s := range streams { // a stream that waits for a buffer gets one when those before it are read
+		for _, s := range streams { // each stream that is read to its end frees its buffer for the next one
 			s.Finish()
 			for len(s.Peek()) > 0 {
 				s.consume(BufferSize)
 			}
 			if !bytes.Equal(s.written, s.read) {
-				t.Fatalf("%d bytes were written, %d read", len(s.written), len(s.read))
+				t.Fatalf("%d bytes were written and %d were read, or their contents differ", len(s.written), len(s.read))
 			}
 		}
 		if p.InUse() != 0 || len(p.waiting) != 0 {
-			t.Fatalf("%d buffers are in use and %d streams wait at the end", p.InUse(), len(p.waiting))
+			t.Fatalf("at the end %d buffers are in use and %d streams wait for one, want none", p.InUse(), len(p.waiting))
 		}
 	})
 }
