--- a/internal/http1/body_encoder.go
+++ b/internal/http1/body_encoder.go
@@ -6,24 +6,25 @@
 	"salttrack/internal/bodystream"
 )
 
-// lastChunk ends a chunked body without a trailer.
+// lastChunk ends a chunked body that has no trailer fields.
 const lastChunk = "0\r\n\r\n"
 
-// BodyEncoder encodes a streamed body, as it is or in chunks, without copying it.
+// BodyEncoder encodes a streamed body without copying it, either unchanged or with chunked transfer coding.
 type BodyEncoder struct {
 	stream    *bodystream.Stream
 	chunked   bool
-	framing   []byte // of a chunk, and not written yet
-	remaining int    // bytes of the present chunk, or of the present part of a sized body
-	ended     bool   // the end of the stream is encoded
+	framing   []byte // chunk framing (chunk size line, CRLF, last chunk) that has not been written yet
+	remaining int    // unwritten bytes of the current chunk, or of the current part of a body without chunks
+	ended     bool   // the end of the body has been encoded
 }
 
-// NewBodyEncoder returns an encoder of a stream's body.
+// NewBodyEncoder returns an encoder for the body that is read from a stream.
 func NewBodyEncoder(stream *bodystream.Stream, chunked bool) *BodyEncoder {
 	return &BodyEncoder{stream: stream, chunked: chunked}
 }
 
-// Next returns the bytes that are to be written now, none if the stream has no more at present. They are valid until Advance.
+// Next returns the next bytes to write, or an empty slice if the stream has none at present. The slice is valid until the next call
+// of Advance.
 func (e *BodyEncoder) Next() []byte {
 	if e.remaining == 0 && !e.ended {
 		e.startPart()
@@ -35,7 +36,8 @@
 	return p[:min(len(p), e.remaining)]
 }
 
-// startPart begins a chunk, or a part of a sized body, with what the stream has.
+// startPart starts a chunk, or a part of a body without chunks, with the bytes that the stream holds. At the end of a complete
+// stream it adds the last chunk.
 func (e *BodyEncoder) startPart() {
 	e.remaining = len(e.stream.Peek())
 	switch {
@@ -50,7 +52,7 @@
 	}
 }
 
-// Advance records that n bytes of what Next returned are written.
+// Advance records that the first n bytes of the slice that Next returned have been written.
 func (e *BodyEncoder) Advance(n int) {
 	if len(e.framing) > 0 {
 		e.framing = e.framing[n:]
@@ -63,5 +65,5 @@
 	e.stream.Consume(n)
 }
 
-// Done reports whether the complete body is written.
+// Done reports whether the whole body has been written.
 func (e *BodyEncoder) Done() bool { return e.ended && len(e.framing) == 0 }
--- a/internal/http1/decoder.go
+++ b/internal/http1/decoder.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// state is what of a message a decoder expects next.
+// state is the part of a message that a decoder expects next.
 type state uint8
 
 const (
@@ -13,48 +13,49 @@
 	stateFields
 	stateSizedBody
 	stateChunkSize
-	stateChunk
-	stateChunkEnd
-	stateTrailer
-	stateBodyToEOF // a body that ends with the connection
+	stateChunk     // the data of a chunk
+	stateChunkEnd  // the CRLF after the data of a chunk
+	stateTrailer   // the trailer section of a chunked body
+	stateBodyToEOF // a response body that ends with the connection
 	stateComplete
 )
 
-// headParser interprets the head of one kind of message.
+// headParser parses the head of a request or of a response.
 type headParser interface {
-	// startLine parses the first line.
+	// startLine parses the start line.
 	startLine(line []byte) error
-	// field parses a field that does not frame the body.
+	// field parses a header field. It is called for every field; the decoder itself parses the fields that frame the body.
 	field(name, value []byte) error
-	// bodyState returns the state that follows the head, which depends on how the fields frame the body.
+	// bodyState returns the state that follows the head, given the framing of the body.
 	bodyState(f framing) (state, error)
 }
 
-// framing is what the fields say of the body's end.
+// framing holds the values of the header fields that determine the end of the body.
 type framing struct {
-	contentLength  int64 // -1 if it is not given
-	transferCoding bool
+	contentLength  int64 // in bytes, -1 without Content-Length
+	transferCoding bool  // the message has Transfer-Encoding: chunked
 }
 
-// decoder decodes one message after the other. Between pieces it keeps an incomplete line and the body, both bounded.
+// decoder decodes the messages of one connection in sequence. Between calls it keeps an incomplete line, limited to MaxHeadBytes,
+// and the buffered body, limited to MaxBufferedBodyBytes.
 type decoder struct {
 	state       state
-	strictLines bool   // every line has to end in CR LF; else only those that frame chunks
-	partialLine []byte // beginning of a line whose end is still missing
-	lineBytes   int    // of the head, of the present chunk's lines, or of the trailer
+	strictLines bool   // if true, a bare LF is an error in every line; if false, only in the lines after the head
+	partialLine []byte // beginning of a line whose end has not been received yet
+	lineBytes   int    // bytes received of the head, of the lines of the current chunk, or of the trailer section
 	framing     framing
-	remaining   int64 // bytes of the sized body or of the present chunk
-	bodyBytes   int64 // of the body so far
-	body        []byte
+	remaining   int64              // bytes that are missing of a body with Content-Length, or of the current chunk
+	bodyBytes   int64              // bytes received of the body; not counted if there is a sink
+	body        []byte             // buffered body
 	exceeds     bool               // the body exceeds MaxBufferedBodyBytes
-	sink        func([]byte) error // takes the complete body, without limit, in place of body
-	stream      func([]byte)       // takes the rest of a long body
+	sink        func([]byte) error // if not nil, receives the whole body of every message, of any length, in place of body
+	stream      func([]byte)       // if not nil, receives the rest of a streamed body in place of body
 }
 
-// maxRetainedLineBytes is the capacity of a line buffer that is kept for the next message.
+// maxRetainedLineBytes is the largest capacity in bytes of a line buffer that is reused for the next message.
 const maxRetainedLineBytes = 1024
 
-// reset makes the decoder ready for the next message.
+// reset prepares the decoder for the next message.
 func (d *decoder) reset() {
 	if cap(d.partialLine) > maxRetainedLineBytes {
 		d.partialLine = nil
@@ -67,24 +68,26 @@
 	}
 }
 
-// Complete reports whether a message is complete.
+// Complete reports whether the current message is complete.
 func (d *decoder) Complete() bool { return d.state == stateComplete }
 
-// hasInput reports whether a part of a message is received.
+// hasInput reports whether any byte of the current message has been received.
 func (d *decoder) hasInput() bool {
 	return d.state != stateStartLine || len(d.partialLine) > 0 || d.lineBytes > 0
 }
 
-// InBody reports whether the head is complete and the body is not.
+// InBody reports whether the head is complete and the body is incomplete.
 func (d *decoder) InBody() bool { return d.state > stateFields && d.state != stateComplete }
 
-// NeedsStreaming reports whether the body is too long to be buffered. The caller has to call StreamBodyTo before it feeds more.
+// NeedsStreaming reports whether the body exceeds MaxBufferedBodyBytes and is not streamed yet. The caller has to call StreamBodyTo
+// before it feeds more bytes.
 func (d *decoder) NeedsStreaming() bool { return d.exceeds && d.stream == nil }
 
-// ContentLength returns the length that the message gives for its body, -1 if it gives none.
+// ContentLength returns the value of the field Content-Length in bytes, -1 if the message has none.
 func (d *decoder) ContentLength() int64 { return d.framing.contentLength }
 
-// StreamBodyTo passes the rest of a long body on as it is received, and returns what was received so far.
+// StreamBodyTo makes the decoder pass the rest of the body to a function as it is received. It returns the bytes of the body that
+// have been received before.
 func (d *decoder) StreamBodyTo(stream func([]byte)) (received []byte) {
 	received = d.body
 	d.body = nil
@@ -92,7 +95,7 @@
 	return received
 }
 
-// feed decodes bytes until the message is complete, and returns how many it consumed.
+// feed decodes bytes until the message is complete. It returns the number of bytes consumed.
 func (d *decoder) feed(p []byte, h headParser) (consumed int, err error) {
 	for d.state != stateComplete && consumed < len(p) {
 		var n int
@@ -110,7 +113,7 @@
 	return consumed, nil
 }
 
-// feedBody decodes bytes of a body that is not interrupted by lines.
+// feedBody decodes bytes of a body with Content-Length, of a chunk's data, or of a body that ends with the connection.
 func (d *decoder) feedBody(p []byte) (int, error) {
 	n := len(p)
 	if d.state != stateBodyToEOF {
@@ -130,7 +133,7 @@
 	return n, nil
 }
 
-// appendBody adds bytes to the body, or passes them on.
+// appendBody appends bytes to the buffered body, or passes them to the sink or the stream.
 func (d *decoder) appendBody(p []byte) error {
 	if d.sink != nil {
 		return d.sink(p)
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// feedLine decodes bytes of one line, and parses it once it is complete.
+// feedLine decodes bytes of one line and parses the line when it is complete.
 func (d *decoder) feedLine(p []byte, h headParser) (int, error) {
 	end := bytes.IndexByte(p, '\n')
 	n := end + 1
@@ -169,20 +172,20 @@
 	}
 	d.partialLine = d.partialLine[:0]
 	line, hasCR := bytes.CutSuffix(line[:len(line)-1], []byte("\r"))
-	if !hasCR && (d.strictLines || d.state > stateFields) { // another reader may see the line end elsewhere (RFC 9112, 2.2 and 7.1)
+	if !hasCR && (d.strictLines || d.state > stateFields) { // other parsers may not end the line here (RFC 9112, 2.2 and 7.1)
 		return n, errBareLF
 	}
 	return n, d.parseLine(line, h)
 }
 
-// parseLine parses a line without its end.
+// parseLine parses a line, which is given without its line end.
 func (d *decoder) parseLine(line []byte, h headParser) error {
 	if hasControlCharacter(line) {
 		return errControlCharacter
 	}
 	switch d.state {
 	case stateStartLine:
-		if len(line) == 0 { // empty lines before a message are ignored (RFC 9112, 2.2)
+		if len(line) == 0 { // empty lines before the start line are ignored (RFC 9112, 2.2)
 			return nil
 		}
 		d.state = stateFields
@@ -199,7 +202,7 @@
 			return errChunkExceedsSize
 		}
 		d.state = stateChunkSize
-		d.lineBytes = 0 // bounded by the body's limit, since each chunk has a byte at least
+		d.lineBytes = 0 // the number of chunks is limited by MaxBodyBytes, since each chunk has at least one byte
 	case stateTrailer:
 		if len(line) == 0 {
 			d.state = stateComplete
@@ -208,7 +211,7 @@
 	return nil
 }
 
-// endHead handles the empty line behind the fields.
+// endHead handles the empty line after the header fields.
 func (d *decoder) endHead(h headParser) error {
 	if d.framing.transferCoding && d.framing.contentLength >= 0 {
 		return errLengthAndCoding
@@ -232,7 +235,7 @@
 	return nil
 }
 
-// startChunk parses the line that begins a chunk, or ends the body.
+// startChunk parses a chunk size line. The size 0 marks the last chunk, after which the trailer section follows.
 func (d *decoder) startChunk(line []byte) error {
 	size, err := parseChunkSize(line)
 	if err != nil {
@@ -249,10 +252,10 @@
 	return nil
 }
 
-// maxChunkSizeDigits bounds the size of a chunk, in hexadecimal digits.
+// maxChunkSizeDigits is the largest number of hexadecimal digits of a chunk size.
 const maxChunkSizeDigits = 8
 
-// parseChunkSize parses the size at the beginning of a chunk's line. Extensions behind it are ignored.
+// parseChunkSize parses the size in a chunk size line, in bytes. Chunk extensions are ignored.
 func parseChunkSize(line []byte) (int64, error) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	digits = bytes.TrimRight(digits, " \t")
--- a/internal/http1/error.go
+++ b/internal/http1/error.go
@@ -5,16 +5,17 @@
 	"fmt"
 )
 
-// Error describes what is wrong with a message. A request with that fault is answered with Status.
+// Error is the error of a message that is malformed, not supported or not allowed.
 type Error struct {
-	Status int
-	Reason string
+	Status int    // status code of the response to a request with this error
+	Reason string // text of the error
 }
 
-// Error returns the reason.
+// Error returns the text of the error.
 func (e *Error) Error() string { return e.Reason }
 
-// StatusOf returns the status that answers a request whose decoding failed with an error.
+// StatusOf returns the status code of the response to a request whose decoding has failed with err. It is 400 if err is not an
+// *Error.
 func StatusOf(err error) int {
 	if e := (*Error)(nil); errors.As(err, &e) {
 		return e.Status
@@ -22,7 +23,7 @@
 	return StatusBadRequest
 }
 
-// Faults that are no mere malformation.
+// Errors of the decoders.
 var (
 	errHeadTooLarge         = &Error{StatusHeaderFieldsTooLarge, "head too large"}
 	errBodyTooLarge         = &Error{StatusContentTooLarge, "body too large"}
@@ -47,10 +48,10 @@
 	errMalformedStatus      = malformed("status")
 )
 
-// malformed returns the error of a message in which something is malformed.
+// malformed returns the error of a message in which the named part is malformed.
 func malformed(what string) error { return &Error{StatusBadRequest, "malformed " + what} }
 
-// repeated returns the error of a request with two values of a field that takes one.
+// repeated returns the error of a request in which a field that may have only one value has two different ones.
 func repeated(field string) error {
 	return &Error{StatusBadRequest, fmt.Sprintf("%s given twice", field)}
 }
--- a/internal/http1/example_test.go
+++ b/internal/http1/example_test.go
@@ -7,14 +7,15 @@
 	"salttrack/internal/http1"
 )
 
-// A request is decoded piece by piece, and forwarded to an upstream with the fields that salttrack knows.
+// A request is decoded from two fragments, then encoded for an upstream. Fields that salttrack does not know, such as User-Agent, are not
+// forwarded.
 func Example() {
 	decoder := http1.NewRequestDecoder()
-	for _, piece := range []string{
+	for _, fragment := range []string{
 		"GET /read/a HTTP/1.1\r\nHost: balancer\r\nX-Txn: 9b1f\r\nX-La",
 		"ne: read\r\nX-Remaining: 0.480\r\nUser-Agent: example\r\n\r\n",
 	} {
-		if _, err := decoder.Feed([]byte(piece)); err != nil {
+		if _, err := decoder.Feed([]byte(fragment)); err != nil {
 			fmt.Println("rejected with status", http1.StatusOf(err))
 			return
 		}
--- a/internal/http1/golden_test.go
+++ b/internal/http1/golden_test.go
@@ -8,7 +8,8 @@
 	"salttrack/internal/bodystream"
 )
 
-// The exact bytes that are forwarded to upstreams: known fields in one order, all others dropped.
+// Requests have to be forwarded to upstreams with exactly the expected bytes. The fields that salttrack knows are written in a fixed
+// order; all others are dropped.
 func TestForwardedRequestBytes(t *testing.T) {
 	const all = "Host: client.example\r\nX-Txn: 9b1f\r\nX-Lane: keep\r\nX-Remaining: 0.480\r\nX-Resent: 1\r\n" +
 		"Idempotency-Key: k1\r\nX-Labels: a=1, b=2\r\n"
@@ -20,7 +21,7 @@
 		{"every known field", "POST /keep/a?b=c%20d HTTP/1.1\r\n" + all + "Content-Length: 3\r\n\r\nabc", 479.6,
 			"POST /keep/a?b=c%20d HTTP/1.1\r\nHost: 10.0.0.1:80\r\nX-Txn: 9b1f\r\nX-Lane: keep\r\nIdempotency-Key: k1\r\n" +
 				"X-Labels: a=1, b=2\r\nX-Remaining: 0.480\r\nX-Resent: 1\r\nContent-Length: 3\r\n\r\nabc"},
-		{"fields in other case and order", "POST /keep HTTP/1.1\r\nx-labels:  a=1\r\nIDEMPOTENCY-KEY: k1\r\nx-remaining: 2\r\nX-LANE:keep\r\nx-txn:\t7 \r\n\r\n", 2000,
+		{"fields in different case and order", "POST /keep HTTP/1.1\r\nx-labels:  a=1\r\nIDEMPOTENCY-KEY: k1\r\nx-remaining: 2\r\nX-LANE:keep\r\nx-txn:\t7 \r\n\r\n", 2000,
 			"POST /keep HTTP/1.1\r\nHost: 10.0.0.1:80\r\nX-Txn: 7\r\nX-Lane: keep\r\nIdempotency-Key: k1\r\n" +
 				"X-Labels: a=1\r\nX-Remaining: 2.000\r\nContent-Length: 0\r\n\r\n"},
 		{"unknown and hop-by-hop fields", "GET /read HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: read\r\nX-Remaining: 1\r\nConnection: close, X-Other\r\n" +
@@ -28,14 +29,14 @@
 			"GET /read HTTP/1.1\r\nHost: 10.0.0.1:80\r\nX-Txn: 1\r\nX-Lane: read\r\nX-Remaining: 1.000\r\n\r\n"},
 		{"HTTP/1.0", "GET /read HTTP/1.0\r\nX-Txn: 1\r\nX-Lane: read\r\nX-Remaining: 1\r\n\r\n", 999.9994,
 			"GET /read HTTP/1.1\r\nHost: 10.0.0.1:80\r\nX-Txn: 1\r\nX-Lane: read\r\nX-Remaining: 1.000\r\n\r\n"},
-		{"chunked short body", "POST /pay HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: pay\r\nX-Remaining: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nX-Txn: 2\r\n\r\n", 1,
+		{"chunked buffered body", "POST /pay HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: pay\r\nX-Remaining: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nX-Txn: 2\r\n\r\n", 1,
 			"POST /pay HTTP/1.1\r\nHost: 10.0.0.1:80\r\nX-Txn: 1\r\nX-Lane: pay\r\nX-Remaining: 0.001\r\nContent-Length: 5\r\n\r\nabcde"},
-		{"with 100-continue", "POST /pay HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: pay\r\nX-Remaining: 1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\nx", -5,
+		{"Expect: 100-continue", "POST /pay HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: pay\r\nX-Remaining: 1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\nx", -5,
 			"POST /pay HTTP/1.1\r\nHost: 10.0.0.1:80\r\nX-Txn: 1\r\nX-Lane: pay\r\nX-Remaining: 0.000\r\nContent-Length: 1\r\n\r\nx"},
 	} {
 		d := NewRequestDecoder()
 		if n, err := d.Feed([]byte(tt.in)); err != nil || n != len(tt.in) || !d.Complete() {
-			t.Fatalf("%s: %d of %d bytes, %v", tt.name, n, len(tt.in), err)
+			t.Fatalf("%s: %d of %d bytes consumed, complete %v, error %v", tt.name, n, len(tt.in), d.Complete(), err)
 		}
 		r := d.Request()
 		if got := string(AppendRequest(nil, &r, "10.0.0.1:80", tt.remaining)); got != tt.want {
@@ -44,14 +45,14 @@
 	}
 }
 
-// The exact bytes of a streamed request, with its length and without.
+// A streamed request has to be encoded with exactly the expected bytes, both with a known and with an unknown length.
 func TestForwardedStreamBytes(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		length int64
 		want   string
 	}{
-		{"sized", 9, "Content-Length: 9\r\n\r\nfirstrest"},
+		{"known length", 9, "Content-Length: 9\r\n\r\nfirstrest"},
 		{"chunked", -1, "Transfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n4\r\nrest\r\n0\r\n\r\n"},
 	} {
 		stream := bodystream.New(bodystream.NewBufferPool(1), tt.length)
@@ -71,7 +72,7 @@
 	}
 }
 
-// encodeAvailable encodes all that the stream has at present.
+// encodeAvailable returns the encoding of all bytes that the stream holds.
 func encodeAvailable(b *BodyEncoder) string {
 	var all strings.Builder
 	for p := b.Next(); len(p) > 0; p = b.Next() {
@@ -81,7 +82,7 @@
 	return all.String()
 }
 
-// The exact bytes of responses to clients.
+// Responses to clients have to be encoded with exactly the expected bytes.
 func TestResponseBytes(t *testing.T) {
 	for status, reason := range map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 		408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 417: "Expectation Failed", 429: "",
@@ -106,14 +107,14 @@
 		}
 	}
 	if got := string(AppendResponse([]byte("before"), ResponseHead{Status: 200}, nil)); !strings.HasPrefix(got, "beforeHTTP/1.1 200 OK\r\n") {
-		t.Errorf("%q does not append", got)
+		t.Errorf("AppendResponse does not append to the slice: %q", got)
 	}
 	if ContinueResponse != "HTTP/1.1 100 Continue\r\n\r\n" {
-		t.Errorf("interim response %q", ContinueResponse)
+		t.Errorf("ContinueResponse is %q", ContinueResponse)
 	}
 }
 
-// The exact bytes of the head of a streamed response.
+// The head of a streamed response has to be encoded with exactly the expected bytes.
 func TestStreamedResponseHeadBytes(t *testing.T) {
 	for _, tt := range []struct {
 		length          int64
@@ -132,7 +133,7 @@
 	}
 }
 
-// The exact texts of errors: the admin server writes them into its responses.
+// The decoder's errors must have exactly the expected texts, since the admin server writes them into its responses.
 func TestErrorTexts(t *testing.T) {
 	for in, want := range map[string]string{
 		"nonsense\r\n":                                                              "malformed request line",
@@ -158,7 +159,7 @@
 		"GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n": "both a length and a transfer coding",
 	} {
 		if _, err := NewRequestDecoder().Feed([]byte(in)); err == nil || err.Error() != want {
-			t.Errorf("%.60q: %v, want %q", in, err, want)
+			t.Errorf("%.60q: error %v, want %q", in, err, want)
 		}
 	}
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,15 +1,19 @@
-// Package http1 is the codec of HTTP/1.x as salttrack speaks it. Decoders take bytes in pieces of any size; short bodies are
-// buffered with their message, long ones are streamed. Encoders append to a buffer of the caller. The package does no I/O.
+// Package http1 encodes and decodes the subset of HTTP/1.x that salttrack supports. Decoders accept input in fragments of any size.
+// A body of up to MaxBufferedBodyBytes is buffered with its message; a longer body is streamed. Encoders append to a buffer of the
+// caller. The package does no I/O.
+//
+// In comments, the head of a message is its start line (request line or status line) and its header fields.
 package http1
 
-// Limits on what a peer may send.
+// Limits on the size of received messages, in bytes.
 const (
-	MaxHeadBytes         = 16 << 10 // start line and fields; also the lines of one chunk, and the trailer
-	MaxBufferedBodyBytes = 64 << 10 // longer bodies have to be streamed
-	MaxBodyBytes         = 33 << 20
+	MaxHeadBytes         = 16 << 10 // size of a head; also of the lines that frame one chunk, and of the trailer section
+	MaxBufferedBodyBytes = 64 << 10 // size of a buffered body; longer bodies are streamed
+	MaxBodyBytes         = 33 << 20 // size of any body, except one that is passed to a sink
 )
 
-// Names of fields. Those of the protocol's own are mapped to the field's terms here and nowhere else.
+// Names of header fields. The constants have the usual terms for the custom fields (X-...), whose names on the wire differ from
+// these terms and appear only here.
 const (
 	fieldHost             = "Host"
 	fieldConnection       = "Connection"
@@ -21,15 +25,15 @@
 	fieldRequestID        = "X-Txn"
 	fieldClass            = "X-Lane"
 	fieldLabels           = "X-Labels"
-	fieldRemaining        = "X-Remaining" // seconds until the client gives up
+	fieldRemaining        = "X-Remaining" // seconds until the client stops waiting for the response
 	fieldRetried          = "X-Resent"
 	fieldRejected         = "X-Turned-Away"
 	fieldLoadReport       = "X-Pressure"
 )
 
-// Values of fields.
+// Values of header fields, and other constant parts of messages.
 const (
-	valueTrue       = "1" // of X-Resent and X-Turned-Away
+	valueTrue       = "1" // value of X-Resent and X-Turned-Away
 	valueChunked    = "chunked"
 	valueContinue   = "100-continue"
 	valueClose      = "close"
--- a/internal/http1/load_report_test.go
+++ b/internal/http1/load_report_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Values of load reports are read by name, and only if they are usable.
+// LoadReportValue has to find values by their exact names and to ignore those that are not valid numbers.
 func TestLoadReportValue(t *testing.T) {
 	for _, tt := range []struct {
 		report string
@@ -11,7 +11,7 @@
 	}{{"inflight=7,queue=2,util=0.61", 7, true}, {"queue=2, inflight=0.5", 0.5, true}, {"", 0, false}, {"inflight=x", 0, false},
 		{"inflight=NaN", 0, false}, {"inflight=-1", 0, false}, {"xinflight=3", 0, false}} {
 		if got, ok := LoadReportValue(tt.report, "inflight"); ok != tt.ok || ok && got != tt.want {
-			t.Errorf("%q: %v %v", tt.report, got, ok)
+			t.Errorf("%q: got %v, %v, want %v, %v", tt.report, got, ok, tt.want, tt.ok)
 		}
 	}
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -8,32 +8,32 @@
 	"salttrack/internal/bodystream"
 )
 
-// Request is a request of a client, and what of it is forwarded to an upstream.
+// Request is a decoded request of a client. AppendRequest encodes the parts of it that are forwarded to an upstream.
 type Request struct {
 	Method           string
 	Target           string // path and query, unchanged
-	ID               string
-	Class            string
+	ID               string // from the field X-Txn
+	Class            string // name of the request class, from the field X-Lane
 	IdempotencyKey   string
-	Labels           string
-	RemainingSeconds float64 // until the client gives up; NaN if it is not given
-	Retried          bool    // the client marks it as a retry of its own
-	Close            bool    // the connection ends with the response
-	HTTP10           bool    // the client knows no chunks
-	ExpectContinue   bool    // the client waits for 100 Continue before it sends the body
-	Body             []byte
-	Stream           *bodystream.Stream // a body that is still being received, in place of Body
+	Labels           string             // from the field X-Labels
+	RemainingSeconds float64            // time in seconds until the client stops waiting for the response; NaN if not given
+	Retried          bool               // the client has marked the request as a retry
+	Close            bool               // the connection ends with the response
+	HTTP10           bool               // the version is HTTP/1.0, which has no chunked transfer coding
+	ExpectContinue   bool               // the client waits for 100 Continue before it sends the body
+	Body             []byte             // complete body; unused if Stream is set
+	Stream           *bodystream.Stream // streamed body; nil if the body is buffered
 }
 
-// RequestDecoder decodes the requests of one connection, one after the other.
+// RequestDecoder decodes the requests of one connection in sequence.
 type RequestDecoder struct {
 	decoder
 	request     Request
 	persistence persistence
-	anyPath     bool // ambiguous paths are accepted
+	anyPath     bool // ambiguous paths are allowed
 }
 
-// NewRequestDecoder returns a decoder ready for its first request.
+// NewRequestDecoder returns a decoder for the requests of clients.
 func NewRequestDecoder() *RequestDecoder {
 	d := &RequestDecoder{}
 	d.strictLines = true
@@ -41,8 +41,8 @@
 	return d
 }
 
-// NewAdminRequestDecoder returns a decoder for the admin server. Ambiguous paths are accepted, since they are not forwarded to
-// another reader, and bodies are dropped.
+// NewAdminRequestDecoder returns a decoder for the requests to the admin server. It allows ambiguous paths, since these requests are
+// not forwarded to an upstream that may interpret the path differently. It discards bodies.
 func NewAdminRequestDecoder() *RequestDecoder {
 	d := NewRequestDecoder()
 	d.anyPath = true
@@ -50,26 +50,28 @@
 	return d
 }
 
-// Reset makes the decoder ready for the next request.
+// Reset prepares the decoder for the next request.
 func (d *RequestDecoder) Reset() {
 	d.reset()
 	d.request = Request{RemainingSeconds: math.NaN()}
 	d.persistence = persistence{}
 }
 
-// Feed decodes bytes until a request is complete, and returns how many it consumed. After an error, an *Error, the rest of the
-// connection can't be decoded.
+// Feed decodes bytes until a request is complete. It returns the number of bytes consumed. An error is an *Error; after it, no
+// further bytes of the connection can be decoded.
 func (d *RequestDecoder) Feed(p []byte) (int, error) { return d.feed(p, d) }
 
-// Started reports whether a part of a request is received.
+// Started reports whether any byte of the current request has been received.
 func (d *RequestDecoder) Started() bool { return d.hasInput() }
 
-// ExpectsContinue reports whether the client waits for 100 Continue: nothing of the body is received yet.
+// ExpectsContinue reports whether the client waits for 100 Continue. That is so while the head is complete and no byte of the body
+// has been received.
 func (d *RequestDecoder) ExpectsContinue() bool {
 	return d.request.ExpectContinue && d.bodyBytes == 0 && (d.state == stateSizedBody || d.state == stateChunkSize)
 }
 
-// Request returns the complete request. Of one whose body is streamed it can be called once the head is complete.
+// Request returns the decoded request. It may be called when the request is complete, or, if the body is streamed, when the head is
+// complete.
 func (d *RequestDecoder) Request() Request {
 	d.request.Body = d.body
 	d.request.Close = d.persistence.closes()
@@ -103,7 +105,8 @@
 	return nil
 }
 
-// field parses a field. Text fields are forwarded or compared with what is, so they have to be visible ASCII.
+// field parses a header field. The text fields have to be printable ASCII, since they are forwarded to upstreams or compared with
+// values that are printable ASCII.
 func (d *RequestDecoder) field(name, value []byte) error {
 	r := &d.request
 	switch {
@@ -130,7 +133,7 @@
 	return nil
 }
 
-// setText sets a text field, which may be given once, or several times with the same value. Lowest is the first character allowed.
+// setText sets a text field. The field may be repeated with the same value only, and its characters must lie between lowest and '~'.
 func setText(text *string, name string, value []byte, lowest byte) error {
 	if *text != "" && *text != string(value) {
 		return repeated(name)
@@ -142,7 +145,7 @@
 	return nil
 }
 
-// setRemaining sets the time until the client gives up.
+// setRemaining sets the time until the client stops waiting for the response.
 func (d *RequestDecoder) setRemaining(value []byte) error {
 	seconds, err := strconv.ParseFloat(string(value), 64)
 	given := !math.IsNaN(d.request.RemainingSeconds)
@@ -165,7 +168,8 @@
 	return stateComplete, nil
 }
 
-// AppendRequest encodes a request for an upstream at the given host. RemainingMS is how long its response is waited for.
+// AppendRequest appends the request that is sent to an upstream: the head with the value of Host, and the body unless it is streamed.
+// The value of X-Remaining is remainingMS, the time in milliseconds for which the caller waits for the response.
 func AppendRequest(p []byte, r *Request, host string, remainingMS float64) []byte {
 	p = append(p, r.Method...)
 	p = append(p, ' ')
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// Requests are the same in pieces of any size, and one behind another on a connection.
+// A request has to be decoded in the same way from fragments of any size, and also when it is the second one on a connection.
 func TestRequest(t *testing.T) {
 	tests := []struct {
 		name, in string
 		want     Request
 	}{
-		{"idempotent", "GET /read/x?q=1 HTTP/1.1\r\nHost: a\r\nX-Txn: 9b1f\r\nX-Lane: read\r\nX-Remaining: 0.480\r\n\r\n",
+		{"idempotent request", "GET /read/x?q=1 HTTP/1.1\r\nHost: a\r\nX-Txn: 9b1f\r\nX-Lane: read\r\nX-Remaining: 0.480\r\n\r\n",
 			Request{Method: "GET", Target: "/read/x?q=1", ID: "9b1f", Class: "read", RemainingSeconds: 0.48}},
 		{"with an idempotency key", "POST /keep HTTP/1.1\r\nx-txn:1\r\nX-LANE:\t keep \r\nX-Remaining: 2\r\nIdempotency-Key: k\r\nContent-Length: 5\r\n\r\nhello",
 			Request{Method: "POST", Target: "/keep", ID: "1", Class: "keep", IdempotencyKey: "k", RemainingSeconds: 2, Body: []byte("hello")}},
 		{"chunked", "POST /p HTTP/1.1\r\nX-Txn: 1\r\nTransfer-Encoding: Chunked\r\n\r\n3\r\nabc\r\n00A;x=y\r\n0123456789\r\n0\r\nTrailer: x\r\n\r\n",
 			Request{Method: "POST", Target: "/p", ID: "1", RemainingSeconds: math.NaN(), Body: []byte("abc0123456789")}},
-		{"an unambiguous path", "GET /read/a%20b/...;c=d/?e=../f//g%2e HTTP/1.1\r\n\r\n",
+		{"unambiguous path with unusual characters", "GET /read/a%20b/...;c=d/?e=../f//g%2e HTTP/1.1\r\n\r\n",
 			Request{Method: "GET", Target: "/read/a%20b/...;c=d/?e=../f//g%2e", RemainingSeconds: math.NaN()}},
 		{"labels, retried, close", "GET / HTTP/1.1\r\nX-Labels: a=1, b=2\r\nX-Resent: 1\r\nConnection: foo, Close\r\n\r\n",
 			Request{Method: "GET", Target: "/", Labels: "a=1, b=2", Retried: true, Close: true, RemainingSeconds: math.NaN()}},
@@ -30,14 +30,14 @@
 	}
 	for _, tt := range tests {
 		d := NewRequestDecoder()
-		for _, n := range pieceSizes {
-			for range 2 { // one after the other
-				rest, err := feedInPieces(d.Feed, d.Complete, tt.in+"next", n)
+		for _, n := range fragmentSizes {
+			for range 2 { // two requests in sequence
+				rest, err := feedInFragments(d.Feed, d.Complete, tt.in+"next", n)
 				if err != nil || !d.Complete() || rest != "next" {
-					t.Fatalf("%s in pieces of %d: %v, complete %v, %q follows", tt.name, n, err, d.Complete(), rest)
+					t.Fatalf("%s in fragments of %d bytes: error %v, complete %v, unconsumed input %q", tt.name, n, err, d.Complete(), rest)
 				}
 				if got, want := fmt.Sprintf("%+v", d.Request()), fmt.Sprintf("%+v", tt.want); got != want {
-					t.Errorf("%s in pieces of %d:\ngot  %s\nwant %s", tt.name, n, got, want)
+					t.Errorf("%s in fragments of %d bytes:\ngot  %s\nwant %s", tt.name, n, got, want)
 				}
 				d.Reset()
 			}
@@ -45,14 +45,14 @@
 	}
 }
 
-// A forwarded request is decoded as what was received.
+// Decoding a forwarded request has to yield the request that was received.
 func TestForwardedRequest(t *testing.T) {
 	in := Request{Method: "POST", Target: "/keep/a?b=c%20d", ID: "9b", Class: "keep", IdempotencyKey: "k1", Labels: "x=1", Retried: true,
 		Body: []byte("payload\r\n\r\n")}
 	d := NewRequestDecoder()
 	p := AppendRequest(nil, &in, "127.0.0.1:80", 479.6)
 	if n, err := d.Feed(p); err != nil || n != len(p) || !d.Complete() {
-		t.Fatalf("%d of %d bytes, %v", n, len(p), err)
+		t.Fatalf("%d of %d bytes consumed, complete %v, error %v", n, len(p), d.Complete(), err)
 	}
 	in.RemainingSeconds = 0.480
 	if got, want := fmt.Sprintf("%+v", d.Request()), fmt.Sprintf("%+v", in); got != want {
@@ -60,7 +60,7 @@
 	}
 }
 
-// malformedRequests are the statuses that answer requests by what is wrong with them.
+// malformedRequests maps requests that have to be rejected to the status codes of the responses to them.
 var malformedRequests = map[string]int{
 	"GET / HTTP/1.1\r\nX-Txn: a\rb\r\n\r\n":                                              400,
 	"GET / HTTP/1.1\r\nX-Txn: a\x00b\r\n\r\n":                                            400,
@@ -92,7 +92,7 @@
 	"GET / HTTP/1.1\r\nX-Labels: a=\xff\r\n\r\n":                                         400,
 	"GET http://x/ HTTP/1.1\r\n\r\n":                                                     400,
 	"GET / HTTP/1.1 \r\n\r\n":                                                            505,
-	// What two readers may read differently: lines that end in LF alone, ambiguous paths.
+	// Requests that different parsers may interpret differently: lines that end in a bare LF, and ambiguous paths.
 	"GET / HTTP/1.1\nX-Txn: 1\r\n\r\n":                                       400,
 	"GET / HTTP/1.1\r\nX-Txn: 1\n\r\n":                                       400,
 	"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\nx\r\n0\r\n\r\n": 400,
@@ -117,12 +117,12 @@
 
 func TestMalformedRequest(t *testing.T) {
 	for in, status := range malformedRequests {
-		for _, n := range pieceSizes {
+		for _, n := range fragmentSizes {
 			d := NewRequestDecoder()
-			_, err := feedInPieces(d.Feed, d.Complete, in, n)
+			_, err := feedInFragments(d.Feed, d.Complete, in, n)
 			var e *Error
 			if !errors.As(err, &e) || e.Status != status {
-				t.Errorf("%.60q in pieces of %d: %v, want status %d", in, n, err, status)
+				t.Errorf("%.60q in fragments of %d bytes: error %v, want one with status %d", in, n, err, status)
 			}
 		}
 	}
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -5,24 +5,24 @@
 	"strconv"
 )
 
-// Response is a response of an upstream, or of discovery.
+// Response is a decoded response of an upstream or of the discovery service.
 type Response struct {
 	Status     int
-	Rejected   bool   // the upstream did not run the request
-	LoadReport string // "" if there is none; see LoadReportValue
+	Rejected   bool   // the upstream has rejected the request without running it
+	LoadReport string // see LoadReportValue; "" if there is none
 	Close      bool   // the connection ends with the response
 	Body       []byte
 }
 
-// ResponseDecoder decodes the responses of one connection, one after the other. Interim responses (1xx) are ignored.
+// ResponseDecoder decodes the responses of one connection in sequence. Interim responses (1xx) are skipped.
 type ResponseDecoder struct {
 	decoder
 	response    Response
 	persistence persistence
-	interim     int // interim responses so far
+	interim     int // number of interim responses received before the current response
 }
 
-// Statuses that decide how a response is framed.
+// Status codes that determine how a response is framed.
 const (
 	minFinalStatus           = 200
 	statusSwitchingProtocols = 101
@@ -30,11 +30,11 @@
 	statusNotModified        = 304
 )
 
-// maxInterimResponses bounds the interim responses before a final one.
+// maxInterimResponses is the largest number of interim responses before a final response.
 const maxInterimResponses = 16
 
-// NewResponseDecoder returns a decoder ready for its first response. If sink is not nil it takes the body as it is received, without
-// limit.
+// NewResponseDecoder returns a decoder for responses. If sink is not nil, bodies are passed to it as they are received, and their
+// length is not limited.
 func NewResponseDecoder(sink func([]byte) error) *ResponseDecoder {
 	d := &ResponseDecoder{}
 	d.sink = sink
@@ -42,21 +42,21 @@
 	return d
 }
 
-// Reset makes the decoder ready for the next response.
+// Reset prepares the decoder for the next response.
 func (d *ResponseDecoder) Reset() {
 	d.interim = 0
 	d.resetResponse()
 }
 
-// resetResponse makes the decoder ready for what follows an interim response.
+// resetResponse prepares the decoder for the response that follows an interim response.
 func (d *ResponseDecoder) resetResponse() {
 	d.reset()
 	d.response = Response{}
 	d.persistence = persistence{}
 }
 
-// Feed decodes bytes until a response is complete, and returns how many it consumed. After an error, an *Error or one of the sink,
-// the rest of the connection can't be decoded.
+// Feed decodes bytes until a final response is complete. It returns the number of bytes consumed. An error is an *Error or an error
+// of the sink; after it, no further bytes of the connection can be decoded.
 func (d *ResponseDecoder) Feed(p []byte) (int, error) {
 	consumed := 0
 	for {
@@ -73,7 +73,7 @@
 	}
 }
 
-// EndOfInput handles the orderly end of the connection. It reports whether the response is complete.
+// EndOfInput handles the end of the peer's sending side (EOF). It reports whether the response is complete.
 func (d *ResponseDecoder) EndOfInput() bool {
 	if d.state == stateBodyToEOF {
 		d.state = stateComplete
@@ -81,13 +81,13 @@
 	return d.Complete()
 }
 
-// Started reports whether a part of a response is received.
+// Started reports whether any byte of the current response has been received, including interim responses before it.
 func (d *ResponseDecoder) Started() bool { return d.hasInput() || d.interim > 0 }
 
-// Status returns the status of the response that is being decoded, 0 before its first line is complete.
+// Status returns the status code of the response that is being decoded, 0 before the status line is complete.
 func (d *ResponseDecoder) Status() int { return d.response.Status }
 
-// Response returns the complete response.
+// Response returns the decoded response. The Body of a streamed response is empty.
 func (d *ResponseDecoder) Response() Response {
 	d.response.Body = d.body
 	d.response.Close = d.response.Close || d.persistence.closes()
@@ -125,7 +125,7 @@
 func (d *ResponseDecoder) bodyState(f framing) (state, error) {
 	status := d.response.Status
 	switch {
-	case status == statusSwitchingProtocols: // no request asks for it
+	case status == statusSwitchingProtocols: // salttrack never sends an Upgrade field
 		return stateComplete, errUnexpectedUpgrade
 	case status < minFinalStatus || status == statusNoContent || status == statusNotModified:
 		return stateComplete, nil
--- a/internal/http1/response_encoder.go
+++ b/internal/http1/response_encoder.go
@@ -5,20 +5,20 @@
 	"strconv"
 )
 
-// ContinueResponse is the interim response to a client that waits for it before it sends a body.
+// ContinueResponse is the interim response for a client that waits for it before it sends a body.
 const ContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// maxResponseHeadBytes is enough for the head of any response, so that a response takes one allocation.
+// maxResponseHeadBytes is an upper bound of the size of an encoded head, so that encoding a response needs only one allocation.
 const maxResponseHeadBytes = 128
 
-// ResponseHead describes the head of a response whose body is written with it.
+// ResponseHead describes the head of a response with a complete body.
 type ResponseHead struct {
 	Status       int
-	RetryAfterMS float64 // 0 leaves Retry-After out
-	Close        bool    // announces that the connection ends with the response
+	RetryAfterMS float64 // value of Retry-After in milliseconds; 0 omits the field
+	Close        bool    // adds Connection: close
 }
 
-// AppendResponse encodes a response with its complete body.
+// AppendResponse appends a response with a complete body.
 func AppendResponse(p []byte, head ResponseHead, body []byte) []byte {
 	p = slices.Grow(p, maxResponseHeadBytes+len(body))
 	p = appendStatusLine(p, head.Status)
@@ -33,15 +33,15 @@
 	return append(p, body...)
 }
 
-// StreamedResponseHead describes the head of a 200 response whose body is streamed. A body of unknown length that is not chunked ends with
+// StreamedResponseHead describes the head of a streamed response, whose status is 200. A body of unknown length that is not chunked ends with
 // the connection.
 type StreamedResponseHead struct {
-	ContentLength int64 // -1 if it is not known
-	Chunked       bool
-	Close         bool // announces that the connection ends with the response
+	ContentLength int64 // length of the body in bytes, -1 if unknown
+	Chunked       bool  // adds Transfer-Encoding: chunked if the length is unknown
+	Close         bool  // adds Connection: close
 }
 
-// AppendStreamedResponseHead encodes the head of a streamed response. A BodyEncoder encodes its body.
+// AppendStreamedResponseHead appends the head of a streamed response. A BodyEncoder encodes the body.
 func AppendStreamedResponseHead(p []byte, head StreamedResponseHead) []byte {
 	p = slices.Grow(p, maxResponseHeadBytes)
 	p = appendStatusLine(p, StatusOK)
@@ -57,7 +57,7 @@
 	return append(p, lineEnd...)
 }
 
-// appendStatusLine adds the first line of a response.
+// appendStatusLine appends a status line.
 func appendStatusLine(p []byte, status int) []byte {
 	p = append(p, protocolVersion+" "...)
 	p = strconv.AppendInt(p, int64(status), 10)
--- a/internal/http1/status.go
+++ b/internal/http1/status.go
@@ -1,12 +1,12 @@
 package http1
 
-// Methods that salttrack serves.
+// Request methods that salttrack supports.
 const (
 	MethodGet  = "GET"
 	MethodPost = "POST"
 )
 
-// Statuses that salttrack gives or interprets.
+// Status codes that salttrack sends or evaluates.
 const (
 	StatusOK                   = 200
 	StatusBadRequest           = 400
@@ -24,7 +24,7 @@
 	StatusVersionNotSupported  = 505
 )
 
-// reasonPhrases are written behind the statuses. A status without one is written without.
+// reasonPhrases are the reason phrases in status lines. The phrase of a status code that is not listed is empty.
 var reasonPhrases = map[int]string{
 	StatusOK:                   "OK",
 	StatusBadRequest:           "Bad Request",
--- a/internal/http1/streaming_test.go
+++ b/internal/http1/streaming_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// streamingDecoder has what both decoders have for long bodies.
+// streamingDecoder is the common interface of both decoders for streamed bodies.
 type streamingDecoder interface {
 	Feed([]byte) (int, error)
 	NeedsStreaming() bool
@@ -15,7 +15,8 @@
 	StreamBodyTo(func([]byte)) []byte
 }
 
-// Long bodies are streamed unchanged however they are framed and split, and what follows them is not consumed.
+// A streamed body has to be passed on unchanged for every framing and wherever the input is split, and the bytes that follow it must
+// not be consumed.
 func TestStreamedBody(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", (MaxBufferedBodyBytes+4096)/16)
 	half := len(body) / 2
@@ -31,22 +32,23 @@
 		{request, "POST /pay HTTP/1.1\r\n" + chunked, chunks, "GET", -1},
 		{response, "HTTP/1.1 200 OK\r\n" + sized, body, "HTT", int64(len(body))},
 		{response, "HTTP/1.1 200 OK\r\n" + chunked, chunks, "HTT", -1},
-		{response, "HTTP/1.1 200 OK\r\n\r\n", body, "", -1}, // to the end of the connection
+		{response, "HTTP/1.1 200 OK\r\n\r\n", body, "", -1}, // body that ends with the connection
 	} {
 		in := tt.head + tt.body + tt.following
-		for cut := 1; cut < len(in); cut++ {
-			if cut > len(tt.head)+40 && cut < len(tt.head)+len(tt.body)-80 && cut%3001 != 0 { // all of the head, and around both ends of the body
+		for split := 1; split < len(in); split++ {
+			// All positions in the head and near both ends of the body are tested, and every 3001st in the rest of the body.
+			if split > len(tt.head)+40 && split < len(tt.head)+len(tt.body)-80 && split%3001 != 0 {
 				continue
 			}
 			d := tt.decoder()
 			var got []byte
 			notConsumed := 0
-			for _, p := range []string{in[:cut], in[cut:]} {
+			for _, p := range []string{in[:split], in[split:]} {
 				n := 0
 				if !d.Complete() {
 					var err error
 					if n, err = d.Feed([]byte(p)); err != nil {
-						t.Fatalf("%q cut at %d: %v", tt.head, cut, err)
+						t.Fatalf("%q split at byte %d: %v", tt.head, split, err)
 					}
 				}
 				if d.NeedsStreaming() {
@@ -55,7 +57,7 @@
 				notConsumed += len(p) - n
 			}
 			if string(got) != body || notConsumed != len(tt.following) || d.ContentLength() != tt.length || d.Complete() != (tt.following != "") {
-				t.Fatalf("%q cut at %d: %d bytes of %d, %d not consumed, length %d, complete %v", tt.head, cut, len(got), len(body), notConsumed, d.ContentLength(), d.Complete())
+				t.Fatalf("%q split at byte %d: %d of %d body bytes passed on, %d bytes not consumed, length %d, complete %v", tt.head, split, len(got), len(body), notConsumed, d.ContentLength(), d.Complete())
 			}
 		}
 	}
