--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -7,12 +7,12 @@
 	"salttrack/internal/trace"
 )
 
-// Ready accepts the connections in the listener's queue.
+// Ready accepts connections when the listening socket is ready. It is a method of loop.Handler.
 func (s *Server) Ready(uint32) { s.accept(maxAcceptsPerTurn) }
 
-// accept accepts at most so many connections, and reports whether the listener's queue is empty or closed. Clients regard what
-// is in the queue as accepted, so it is emptied even when the table is full: into overflow connections, whose requests are
-// rejected.
+// accept accepts up to limit connections. It reports whether the listener's queue is empty or the listener is closed. Clients
+// regard connections in the queue as established, so these are accepted even when the descriptor quota is exhausted. They then become
+// overflow connections, whose requests are rejected unless a descriptor has become available.
 func (s *Server) accept(limit int) (emptied bool) {
 	for range limit {
 		if s.listener < 0 {
@@ -27,7 +27,7 @@
 			s.queuedSince = 0
 			return true
 		}
-		if err != nil { // no descriptor or memory in the kernel: retried after the pause
+		if err != nil { // the kernel lacks descriptors or memory; the accept is retried after the pause
 			s.pauseAccepting()
 			return false
 		}
@@ -36,15 +36,15 @@
 	return false
 }
 
-// startConn begins to serve an accepted connection.
+// startConn starts to serve an accepted connection.
 func (s *Server) startConn(fd int) {
 	s.counters.connectionsAccepted.Inc()
 	if s.Trace.Enabled() {
 		s.Trace.Write(trace.ConnectionAccepted, trace.Event{Connection: fd})
 	}
-	inTable := s.quota.Acquire()
+	withinQuota := s.quota.Acquire()
 	c := newConn(s, fd)
-	if !inTable {
+	if !withinQuota {
 		c.overflow = true
 		s.overflowConns++
 	}
@@ -57,10 +57,10 @@
 	if s.queuedSince != 0 {
 		s.Loop.MarkUnreadSince(fd, s.queuedSince)
 	}
-	c.Ready(loop.In) // the request is often there already
+	c.Ready(loop.In) // the first request has often been received already
 }
 
-// pauseAccepting leaves new connections in the listener's queue for acceptRetryInterval.
+// pauseAccepting stops accepting connections for acceptRetryInterval. New connections stay in the listener's queue.
 func (s *Server) pauseAccepting() {
 	s.counters.acceptPauses.Inc()
 	if s.queuedSince == 0 {
@@ -74,7 +74,8 @@
 	})
 }
 
-// promoteFromOverflow moves an overflow connection into the table, and reports whether there was capacity for it.
+// promoteFromOverflow turns an overflow connection into a regular one if the descriptor quota allows it, and reports whether it has
+// done so.
 func (c *conn) promoteFromOverflow() bool {
 	if !c.server.quota.Acquire() {
 		return false
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -8,36 +8,37 @@
 	"salttrack/internal/trace"
 )
 
-// state is what a connection does at present. Each implementation is a part of the connection and holds the fields that have a
-// meaning in that state.
+// state is the state of a connection. Each implementation is a part of the connection and holds the fields that are used in that
+// state. The transitions are:
 //
-//	requestReader -> upload           the head of a request with a long body is received
-//	requestReader -> pendingResponse  a request is received
-//	upload        -> pendingResponse  the last byte of the body is received
-//	any of these  -> responseWriter   there is a response
-//	any of these  -> responseStream   there is a response with a long body
-//	responseWriter, responseStream -> requestReader or lingeringClose
-//	any           -> closedState
+//	requestReader -> requestStream                    the body of the request is too large to be buffered
+//	requestReader, requestStream -> pendingResponse   the request has been received completely
+//	requestReader, requestStream -> responseWriter    a response is sent before the request is complete, or without an exchange
+//	pendingResponse -> responseWriter                 a response with a complete body is sent
+//	pendingResponse -> responseStream                 a response with a streamed body is sent
+//	responseWriter, responseStream -> requestReader   the response has been sent and the connection stays open
+//	responseWriter, responseStream -> lingeringClose  the response has been sent and the connection ends
+//	any state -> closedState                          the descriptor has been closed
 type state interface {
-	// ready handles events of the connection's descriptor.
+	// ready handles readiness events of the connection's descriptor.
 	ready(events uint32)
 }
 
-// conn is one connection of a client. It owns its descriptor and its timer, both until close.
+// conn is a client connection. It owns its descriptor and its timer until close is called.
 type conn struct {
 	server    *Server
 	fd        int
-	overflow  bool // on a descriptor beyond the table
-	responded bool // a request has had its response
+	overflow  bool // the connection was accepted beyond the descriptor quota
+	responded bool // at least one response has been sent completely
 	state     state
-	timer     *timer.Timer // of the present state, nil if it has none
-
-	reader  requestReader
-	upload  upload
-	pending pendingResponse
-	writer  responseWriter
-	stream  responseStream
-	linger  lingeringClose
+	timer     *timer.Timer // timeout of the current state; nil if it has none
+
+	reader         requestReader
+	requestStream  requestStream
+	pending        pendingResponse
+	writer         responseWriter
+	responseStream responseStream
+	linger         lingeringClose
 }
 
 // closedState is the state of a connection whose descriptor is closed.
@@ -45,30 +46,30 @@
 
 func (closedState) ready(uint32) {}
 
-// newConn registers a connection. startReading has to follow.
+// newConn returns a new connection of the server. The caller has to call startReading.
 func newConn(s *Server, fd int) *conn {
 	c := &conn{server: s, fd: fd}
 	c.reader.conn = c
 	c.reader.decoder = http1.NewRequestDecoder()
-	c.upload.conn = c
+	c.requestStream.conn = c
 	c.pending.conn = c
 	c.writer.conn = c
-	c.stream.conn = c
+	c.responseStream.conn = c
 	c.linger.conn = c
 	c.linger.timeout = lingerTimeout
 	s.conns[c] = struct{}{}
 	return c
 }
 
-// Ready handles events of the connection's descriptor.
+// Ready handles readiness events of the connection's descriptor.
 func (c *conn) Ready(events uint32) { c.state.ready(events) }
 
-// Respond writes the response of the connection's exchange.
+// Respond sends the final response of the connection's exchange.
 func (c *conn) Respond(x *exchange.Exchange, r exchange.Response) {
 	c.pending.detachExchange(x)
 	switch {
 	case r.Stream != nil:
-		c.stream.start(r.Stream, x.Message.(*http1.Request))
+		c.responseStream.start(r.Stream, x.Message.(*http1.Request))
 	case r.Disposition == exchange.Served:
 		c.writer.respond(http1.ResponseHead{Status: http1.StatusOK}, r.Body)
 	case r.Disposition == exchange.Rejected:
@@ -80,10 +81,11 @@
 	}
 }
 
-// Connected reports whether the client still waits for its response. Its close may have arrived and not been handled yet, behind
-// requests that were read before or in the same turn. While a body is received the close is seen by reading.
+// Connected reports whether the client still waits for its response. It asks the kernel, since the event for the client's close may
+// not have been handled yet: events of other connections may be handled first in the same turn of the loop. While a request body is
+// being received, Connected does not ask the kernel, since reading detects the close.
 func (c *conn) Connected(*exchange.Exchange) bool {
-	if !c.upload.active() && c.server.Loop.PeerClosed(c.fd) {
+	if !c.requestStream.active() && c.server.Loop.PeerClosed(c.fd) {
 		c.server.counters.disconnectedBeforeAttempt.Inc()
 		c.clientDisconnected()
 		return false
@@ -91,16 +93,16 @@
 	return true
 }
 
-// clientDisconnected closes the connection of a client that did not wait for its response.
+// clientDisconnected closes the connection after the client has disconnected before its response.
 func (c *conn) clientDisconnected() {
 	x := c.pending.exchange
 	c.pending.detachExchange(x)
-	c.upload.abort()
+	c.requestStream.abort()
 	c.close(reasonClientDisconnected)
 	c.server.handler.ClientDisconnected(x)
 }
 
-// startTimer sets the connection's one timer, in place of the one that was set.
+// startTimer sets the connection's timer, which calls a function after a duration. It replaces the previous timer.
 func (c *conn) startTimer(after balance.Millis, do func()) {
 	c.stopTimer()
 	c.timer = c.server.Loop.After(after, do)
@@ -112,16 +114,16 @@
 	c.timer = nil
 }
 
-// fail closes a connection that failed.
+// fail closes the connection after an error and counts it as broken.
 func (c *conn) fail(reason trace.Reason) {
 	c.server.counters.connectionsBroken.Inc()
 	c.close(reason)
 }
 
-// closed reports whether close was called.
+// closed reports whether close has been called.
 func (c *conn) closed() bool { return c.state == closedState{} }
 
-// close closes the descriptor and gives back all that the connection holds.
+// close closes the descriptor and releases everything that the connection holds.
 func (c *conn) close(reason trace.Reason) {
 	if c.closed() {
 		return
@@ -133,7 +135,7 @@
 	c.stopReading()
 	c.server.Loop.Close(c.fd)
 	c.unregister()
-	c.stream.abandon()
+	c.responseStream.abandon()
 }
 
 // unregister removes the connection from the server.
@@ -148,7 +150,7 @@
 	c.server.endIfIdle()
 }
 
-// removeFromIdle removes the connection from the idle ones, and stops its timer.
+// stopReading removes the connection from the server's readingConns and stops its timer.
 func (c *conn) stopReading() {
 	if c.reader.listElement != nil {
 		c.server.readingConns.Remove(c.reader.listElement)
--- a/internal/downstream/counters.go
+++ b/internal/downstream/counters.go
@@ -7,7 +7,7 @@
 	"salttrack/internal/http1"
 )
 
-// responseStatuses are the statuses of responses that the client side gives.
+// responseStatuses are the status codes of the responses that this package sends.
 var responseStatuses = [...]int{
 	http1.StatusOK,
 	http1.StatusBadRequest,
@@ -25,23 +25,23 @@
 }
 
 type counters struct {
-	disconnectedBeforeAttempt *counter.Counter // disconnected when an attempt was to be sent
-	requestsStreamed          *counter.Counter // with a long body
+	disconnectedBeforeAttempt *counter.Counter // clients that were found disconnected when an attempt was about to be sent
+	requestsStreamed          *counter.Counter // requests with a streamed body
 	connectionsAccepted       *counter.Counter
 	requests                  *counter.Counter
 	readinessChecks           *counter.Counter
-	requestsMalformed         *counter.Counter // answered by this side: malformed, not allowed, too slow, or incomplete in a shutdown
-	connectionsShed           *counter.Counter
-	overflowRejected          *counter.Counter
-	shutdownRejected          *counter.Counter
-	acceptPauses              *counter.Counter
-	connectionsBroken         *counter.Counter // failed, response not read in time, or streamed response cut short
+	requestsMalformed         *counter.Counter // requests that were malformed, not allowed, too slow, or incomplete in a shutdown
+	connectionsShed           *counter.Counter // idle connections that were closed to free a descriptor
+	overflowRejected          *counter.Counter // requests that were rejected on overflow connections
+	shutdownRejected          *counter.Counter // complete requests that were rejected because of a shutdown
+	acceptPauses              *counter.Counter // calls of pauseAccepting
+	connectionsBroken         *counter.Counter // failed connections, slow readers and truncated streamed responses
 	requestsTimedOut          *counter.Counter
-	connectionsIdleClosed     *counter.Counter
-	responses                 map[int]*counter.Counter // by status
+	connectionsIdleClosed     *counter.Counter         // connections that were closed after a timeout without a request
+	responses                 map[int]*counter.Counter // responses by status code
 }
 
-// newCounters registers the counters of the client side in a set.
+// newCounters registers the counters of this package in a set.
 func newCounters(set *counter.Set) counters {
 	c := counters{
 		disconnectedBeforeAttempt: set.New("client_disconnected_before_attempt"),
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -7,12 +7,12 @@
 	"salttrack/internal/epoll/epolltest"
 )
 
-// The handler is called when a client disconnects before its response, however it does so.
+// The request handler has to be notified when a client disconnects before its response, whether by a close, a half-close or a reset.
 func TestClientDisconnects(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	for _, disconnect := range []func(*client){
 		func(c *client) { c.Close() },
-		func(c *client) { c.CloseWrite() }, // a half-close gives up as well
+		func(c *client) { c.CloseWrite() }, // a half-close counts as a disconnect
 		func(c *client) { c.SetLinger(0); c.Close() },
 	} {
 		c := s.connect()
@@ -22,13 +22,13 @@
 		select {
 		case y := <-s.disconnected:
 			if x != y {
-				t.Error("another exchange was disconnected")
+				t.Error("the disconnect of a different exchange was reported")
 			}
 		case <-time.After(epolltest.Patience):
 			t.Fatal("the disconnect was not reported")
 		}
 	}
-	c := s.connect() // in the middle of a request: there is no exchange
+	c := s.connect() // disconnects in the middle of a request, which has no exchange
 	c.send(getRequest("1")[:30])
 	c.Close()
 	s.WaitFor("client_connections_open", 0)
@@ -37,24 +37,25 @@
 	}
 }
 
-// Sendable asks the socket, since a client's close may have arrived and not been handled yet: no attempt begins for it.
-func TestDisconnectNotYetHandled(t *testing.T) {
+// Sendable has to detect a disconnect whose event the loop has not handled yet, so that no attempt is sent for that client. It must
+// do so even if unread bytes precede the close.
+func TestSendableDetectsUnhandledDisconnect(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
 	c.send(getRequest("1") + getRequest("2"))
 	x := s.nextExchange()
-	s.Do(func() { // the loop handles no event meanwhile
+	s.Do(func() { // the loop handles no events while this function runs
 		if !x.Sendable() {
-			t.Error("a connected client counts as disconnected")
+			t.Error("the exchange of a connected client is not sendable")
 		}
-		c.send("GET ") // unread bytes hide the close from a read
+		c.send("GET ") // because of these unread bytes a read would not return the end of the input
 		c.Close()
 		busyWait(func() bool { return s.Loop.PeerClosed(s.fd()) })
 		if x.Sendable() {
-			t.Error("a client that has closed counts as connected")
+			t.Error("the exchange of a disconnected client is sendable")
 		}
 	})
 	if disconnected := <-s.disconnected; disconnected != x || len(s.accepted) != 0 || s.Counted("client_connections_open") != 0 {
-		t.Errorf("%v disconnected, %d more accepted, %d connections", disconnected, len(s.accepted), s.Counted("client_connections_open"))
+		t.Errorf("disconnect of %v reported, %d more exchanges, %d open connections", disconnected, len(s.accepted), s.Counted("client_connections_open"))
 	}
 }
--- a/internal/downstream/dispatch.go
+++ b/internal/downstream/dispatch.go
@@ -8,13 +8,14 @@
 	"salttrack/internal/trace"
 )
 
-// Paths of the balancer's own.
+// Paths that the balancer serves itself. No request below internalPathPrefix is forwarded to an upstream.
 const (
 	internalPathPrefix = "/-/"
 	readinessPath      = "/-/ready"
 )
 
-// dispatch handles a request whose head, and body if that is short, are complete: it is answered here or becomes an exchange.
+// dispatch handles a request whose head is complete, and whose body is complete unless it is streamed. It either sends a response or
+// starts an exchange.
 func (c *conn) dispatch(r http1.Request) {
 	s := c.server
 	c.reader.requestCount++
@@ -43,13 +44,13 @@
 	}
 }
 
-// startExchange hands a request to the handler.
+// startExchange creates the exchange of a request and passes it to the request handler.
 func (c *conn) startExchange(r *http1.Request, class uint8) {
 	s := c.server
 	x := exchange.New(c, r)
 	x.Class = class
 	x.ClientRequestID = r.ID
-	x.BodyIncomplete = c.upload.active()
+	x.BodyIncomplete = c.requestStream.active()
 	if x.BodyIncomplete {
 		x.ClientDeadline = s.Loop.Now() + incompleteRequestDeadline
 		x.RespondBy = s.Loop.Now() + incompleteRequestDeadline
@@ -65,21 +66,22 @@
 	s.handler.HandleRequest(x)
 }
 
-// startDeadline starts a request's deadline at the arrival of its last byte, however slowly it was sent.
+// startDeadline sets the deadlines of a request. They count from the arrival of its last byte, so that the time in which the client
+// sends the request does not reduce the remaining time.
 func (c *conn) startDeadline(x *exchange.Exchange, r *http1.Request) {
 	remaining := r.RemainingSeconds * 1000
 	x.ClientDeadline = c.reader.receivedAt + remaining
-	x.RespondBy = x.ClientDeadline - min(c.server.settings.ResponseMargin, remaining/minRemainingPerMargin)
+	x.RespondBy = x.ClientDeadline - min(c.server.settings.ResponseMargin, remaining/responseMarginDivisor)
 }
 
-// traceRejected traces a request that is rejected before it becomes an exchange.
+// traceRejected writes a trace event for a request that is rejected without an exchange.
 func (c *conn) traceRejected(r *http1.Request, status int, reason trace.Reason) {
 	if c.server.Trace.Enabled() {
 		c.server.Trace.Write(trace.RequestRejected, trace.Event{Request: r.ID, Class: r.Class, Connection: c.fd, Status: status, Reason: reason})
 	}
 }
 
-// serveInternalPath serves the balancer's own paths.
+// serveInternalPath serves the paths below internalPathPrefix.
 func (c *conn) serveInternalPath(path, method string) {
 	switch {
 	case path != readinessPath:
@@ -95,10 +97,12 @@
 	}
 }
 
-// reject answers a request without an exchange: it is malformed, not allowed, too slow, or incomplete in a shutdown.
+// reject sends an error response to a request that has no exchange, since it is malformed, not allowed, too slow, or incomplete
+// during a shutdown.
 func (c *conn) reject(status int) { c.rejectWith(http1.ResponseHead{Status: status}) }
 
-// rejectAndClose is reject where nothing behind the request can be read.
+// rejectAndClose rejects a request like reject and then closes the connection. It is used when the bytes after the rejected part
+// can't be decoded.
 func (c *conn) rejectAndClose(status int) {
 	c.rejectWith(http1.ResponseHead{Status: status, Close: true})
 }
--- a/internal/downstream/faults_test.go
+++ b/internal/downstream/faults_test.go
@@ -11,8 +11,8 @@
 	"salttrack/internal/simulation/faultinject"
 )
 
-// Transient faults and short reads and writes lose no request and change no response: on a new connection, on a reused one, and
-// where the client waits for 100 Continue.
+// Transient faults of system calls, short reads and short writes must neither lose a request nor change a response. The test sends
+// the first request of a connection, a second one on the same connection, and one whose client waits for 100 Continue.
 func TestTransientSystemCallFaults(t *testing.T) {
 	rules := faultinject.TransientRules()
 	maps.Copy(rules, map[string]faultinject.Rule{
@@ -33,7 +33,7 @@
 			}
 		}
 		c.send("POST /pay HTTP/1.1\r\nX-Txn: 3\r\nX-Lane: pay\r\nX-Remaining: 1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
-		s.Do(func() {}) // it may or may not have been read by now
+		s.Do(func() {}) // gives the server the chance to read the head before the body is sent
 		c.send("abc")
 		s.serve(s.nextExchange(), "three")
 		if got := finalResponse(t, c); got != "three" {
@@ -42,7 +42,7 @@
 	}
 }
 
-// finalResponse reads interim responses, if there are any, and the final one, and returns its body.
+// finalResponse skips interim responses and returns the body of the final response.
 func finalResponse(t *testing.T, c *client) string {
 	t.Helper()
 	for {
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -20,25 +20,26 @@
 	"salttrack/internal/simulation/faultinject"
 )
 
-// longestDeadline is the longest deadline of the tests' settings.
+// longestDeadline is the longest deadline in milliseconds in the settings of the tests.
 const longestDeadline balance.Millis = 2000
 
-// Classes of the tests' settings.
+// Class numbers in the settings of the tests.
 const (
-	classRead uint8 = iota // idempotent
-	classPay               // not idempotent
-	classKeep              // with an idempotency key
+	classRead uint8 = iota // class "read", idempotent
+	classPay               // class "pay", not idempotent
+	classKeep              // class "keep", with an idempotency key
 )
 
-// testServer is a server on a loop of its own. It is the server's request handler: the test plays the balancer.
+// testServer is a Server that runs on its own event loop. It is also the server's request handler: it passes the calls of the server
+// to the test, which responds in place of the balancer.
 type testServer struct {
 	*epolltest.Rig
 	server       *Server
 	addr         string
-	accepted     chan *exchange.Exchange
-	disconnected chan *exchange.Exchange
-	completed    chan *exchange.Exchange
-	respondBy    balance.Millis // as set last
+	accepted     chan *exchange.Exchange // arguments of HandleRequest
+	disconnected chan *exchange.Exchange // arguments of ClientDisconnected
+	completed    chan *exchange.Exchange // arguments of RequestComplete
+	respondBy    balance.Millis          // argument of the last call of SetShutdownDeadline
 }
 
 func (s *testServer) HandleRequest(x *exchange.Exchange)      { s.accepted <- x }
@@ -46,10 +47,11 @@
 func (s *testServer) ClientDisconnected(x *exchange.Exchange) { s.disconnected <- x }
 func (s *testServer) SetShutdownDeadline(at balance.Millis)   { s.respondBy = at }
 
-// newTestServer starts a server with a table of so many descriptors, on a kernel that fails by rules if there are any.
+// newTestServer starts a server with the given limits on descriptors and on overflow connections. If rules are given, they inject
+// faults into the system calls.
 func newTestServer(t *testing.T, descriptors, overflowLimit int, rules ...faultinject.Rule) *testServer {
 	t.Helper()
-	const maxExchanges = 1000 // that a test does not read
+	const maxExchanges = 1000 // more than any test leaves in a channel
 	s := &testServer{
 		Rig:          epolltest.Start(t, rules...),
 		accepted:     make(chan *exchange.Exchange, maxExchanges),
@@ -83,7 +85,7 @@
 	return s
 }
 
-// shutdown begins a shutdown that is signalled now.
+// shutdown starts a shutdown whose signal arrives now.
 func (s *testServer) shutdown(longest balance.Millis, done func()) (schedule shutdown.Schedule) {
 	s.Do(func() {
 		schedule = shutdown.New(s.Loop.Now(), longest)
@@ -92,10 +94,10 @@
 	return schedule
 }
 
-// runTimers runs the timers that are due by a time.
+// runTimers runs the timers that are due at a time or earlier.
 func (s *testServer) runTimers(at balance.Millis) { s.Do(func() { s.Loop.Timers.Run(at) }) }
 
-// connect opens a connection of a client. It is closed with the test.
+// connect opens a client connection. It is closed at the end of the test.
 func (s *testServer) connect() *client {
 	s.T.Helper()
 	c, err := net.Dial("tcp", s.addr)
@@ -107,19 +109,19 @@
 	return &client{c.(*net.TCPConn), bufio.NewReader(c), s.T}
 }
 
-// nextExchange waits for the next request that is accepted.
+// nextExchange waits for the exchange of the next request.
 func (s *testServer) nextExchange() *exchange.Exchange {
 	s.T.Helper()
 	select {
 	case x := <-s.accepted:
 		return x
 	case <-time.After(epolltest.Patience):
-		s.T.Fatal("no request was accepted")
+		s.T.Fatal("no exchange was started")
 		return nil
 	}
 }
 
-// serve responds to an exchange with a body.
+// serve sends a response with the given body for an exchange.
 func (s *testServer) serve(x *exchange.Exchange, body string) {
 	s.Do(func() { x.Respond(exchange.Response{Disposition: exchange.Served, Body: []byte(body)}) })
 }
@@ -132,16 +134,16 @@
 	return -1
 }
 
-// leastRecentlyActive returns the first of the idle connections. It may be called on the loop only.
+// leastRecentlyActive returns the first connection in readingConns. It must be called on the event loop.
 func (s *testServer) leastRecentlyActive() *conn { return s.server.readingConns.Front().Value.(*conn) }
 
-// lastActivity returns when the only connection received its last byte.
+// lastActivity returns the time in milliseconds at which the least recently active connection was last active.
 func (s *testServer) lastActivity() (at balance.Millis) {
 	s.Do(func() { at = s.leastRecentlyActive().reader.lastActivity })
 	return at
 }
 
-// waitForPartialRequest waits until the newest idle connection has received a part of a request.
+// waitForPartialRequest waits until the most recently active connection has received part of a request.
 func (s *testServer) waitForPartialRequest() {
 	for started := false; !started; time.Sleep(time.Millisecond) {
 		s.Do(func() {
@@ -151,21 +153,22 @@
 	}
 }
 
-// busyWait waits on the loop, which handles nothing meanwhile, until a condition holds or epolltest.Patience has passed.
+// busyWait waits until a condition holds or epolltest.Patience has passed. It is called on the event loop, which handles no events
+// meanwhile.
 func busyWait(condition func() bool) {
 	for end := time.Now().Add(epolltest.Patience); !condition() && time.Now().Before(end); {
 		runtime.Gosched()
 	}
 }
 
-// client is one connection of a client.
+// client is the client's end of a connection.
 type client struct {
 	*net.TCPConn
 	in *bufio.Reader
 	t  *testing.T
 }
 
-// send writes bytes of requests.
+// send sends the bytes of s.
 func (c *client) send(s string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, s); err != nil {
@@ -173,7 +176,7 @@
 	}
 }
 
-// response reads a response and its body.
+// response reads the next response and its body.
 func (c *client) response() (*http.Response, string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
@@ -187,15 +190,15 @@
 	return resp, string(body)
 }
 
-// expectEOF expects the server to have closed the connection.
+// expectEOF checks that the server has closed the connection.
 func (c *client) expectEOF() {
 	c.t.Helper()
 	if _, err := c.in.ReadByte(); err != io.EOF {
-		c.t.Errorf("the connection is still open: %v", err)
+		c.t.Errorf("read returned %v, want EOF", err)
 	}
 }
 
-// getRequest returns a request of the class read.
+// getRequest returns a request of the class "read" with the given request id.
 func getRequest(id string) string {
 	return "GET /read/a?b=c HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: read\r\nX-Remaining: 2\r\n\r\n"
 }
--- a/internal/downstream/limits.go
+++ b/internal/downstream/limits.go
@@ -2,48 +2,67 @@
 
 import "salttrack/balance"
 
-// Time limits of a client connection.
+// Timeouts of a client connection, in milliseconds.
 const (
-	idleTimeout          balance.Millis = 15000 // between requests
-	requestTimeout       balance.Millis = 2500  // for a request head; for the first one from the accept on
-	bodyProgressInterval balance.Millis = 2500  // for the next minBodyBytesPerInterval of a body, or its rest
-	responseWriteTimeout balance.Millis = 15000 // for the client to read a response, or the next part of a streamed one
-	stallCheckInterval   balance.Millis = 1500  // at least, between checks of a streamed response
-	lingerTimeout        balance.Millis = 1000  // for reading on after the last response
-	overflowTimeout      balance.Millis = 1000  // for a request on an overflow connection
-
-	// incompleteRequestLinger replaces lingerTimeout after a response that preceded the end of its request.
+	// idleTimeout is how long a connection may be idle between two requests.
+	idleTimeout balance.Millis = 15000
+
+	// requestTimeout is how long a client may take to send the head of a request. It counts from the first byte of the head. For the
+	// first request of a connection it counts from the accept.
+	requestTimeout balance.Millis = 2500
+
+	// bodyProgressInterval is the interval in which a client has to send minBodyBytesPerInterval of a request body, or the rest of it.
+	bodyProgressInterval balance.Millis = 2500
+
+	// responseWriteTimeout is how long a client may take to read a complete response. For a streamed response it is how long the
+	// client may read nothing while unsent bytes are available.
+	responseWriteTimeout balance.Millis = 15000
+
+	// stallCheckInterval is the minimum interval between two checks whether the client reads a streamed response.
+	stallCheckInterval balance.Millis = 1500
+
+	// lingerTimeout is how long the server discards input after the last response of a connection.
+	lingerTimeout balance.Millis = 1000
+
+	// incompleteRequestLinger replaces lingerTimeout if the response was sent before the request was received completely.
 	incompleteRequestLinger balance.Millis = 10000
 
-	// incompleteRequestDeadline is the deadline of a request whose time starts with its last byte.
+	// overflowTimeout is how long a client may take to send the first byte, or the next bytes, of a request on an overflow connection.
+	overflowTimeout balance.Millis = 1000
+)
+
+// Deadlines of requests.
+const (
+	// incompleteRequestDeadline is the deadline in milliseconds of a request with a streamed body until the last byte of the body has
+	// arrived. From then on the deadline that the client has given applies.
 	incompleteRequestDeadline balance.Millis = 3600e3
 
-	// minRemainingPerMargin limits the response margin to a tenth of the remaining time.
-	minRemainingPerMargin = 10
+	// responseMarginDivisor limits the response margin to a tenth of the remaining time that the client has given.
+	responseMarginDivisor = 10
 )
 
-// Limits of reading, so that one client does not delay the others.
+// Limits on reading, so that one client does not delay the others.
 const (
-	readBufferBytes         = 16 << 10
-	maxReadsPerTurn         = 16 // of one connection in a turn of the loop
-	minBodyBytesPerInterval = 16 << 10
+	readBufferBytes         = 16 << 10 // size of the read buffer in bytes
+	maxReadsPerTurn         = 16       // reads from one connection in one turn of the event loop
+	minBodyBytesPerInterval = 16 << 10 // bytes of a body that a client has to send in each bodyProgressInterval
 )
 
-// Limits of accepting.
+// Limits on accepting connections.
 const (
-	maxAcceptsPerTurn    = 256     // in a turn of the loop
-	maxAcceptsAtShutdown = 1 << 20 // more than a listener's queue holds
+	maxAcceptsPerTurn    = 256     // connections that are accepted in one turn of the event loop
+	maxAcceptsAtShutdown = 1 << 20 // connections that are accepted when the listener closes; more than its queue can hold
 
-	// acceptRetryInterval is the pause after descriptors or kernel memory were short.
+	// acceptRetryInterval is the pause in milliseconds after accepting has failed for lack of descriptors or kernel memory.
 	acceptRetryInterval balance.Millis = 5
 
-	// listenerCloseRetryInterval is the pause until the listener's queue is tried again during a shutdown.
+	// listenerCloseRetryInterval is the pause in milliseconds between two attempts to empty the listener's queue during a shutdown.
 	listenerCloseRetryInterval balance.Millis = 5
 )
 
-// How long a connection has to be inactive before it may be closed in favour of another.
+// Minimum time in milliseconds that a connection has to be inactive before it may be closed to free its descriptor.
 const (
-	minInactivity               balance.Millis = 1000 // for an idle connection, or one without its first request
-	minInactivityUnderPressure  balance.Millis = 100  // for an idle connection while overflow connections are exhausted
-	minInactivityPartialRequest balance.Millis = 3000 // for one with a part of a request
+	minInactivity               balance.Millis = 1000 // for an idle connection, and for a new one without a request
+	minInactivityUnderPressure  balance.Millis = 100  // for an idle connection when the limit on overflow connections is reached
+	minInactivityPartialRequest balance.Millis = 3000 // for a connection that has received part of a request
 )
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -7,15 +7,16 @@
 	"salttrack/internal/loop"
 )
 
-// lingeringClose is the state of a connection after its last response. Sending has ended, and input is read and discarded for a
-// moment: closing with unread input would send a reset, which can destroy the response on its way.
+// lingeringClose is the state of a connection after its last response. The sending side is closed, and input is read and discarded
+// until the client closes the connection or the timeout expires. Closing a socket with unread input would send a TCP reset, which can
+// make the client lose the response.
 type lingeringClose struct {
 	conn    *conn
 	started bool
-	timeout balance.Millis
+	timeout balance.Millis // lingerTimeout or incompleteRequestLinger
 }
 
-// start ends the sending side of the connection.
+// start closes the sending side of the connection and begins to discard input.
 func (l *lingeringClose) start() {
 	c := l.conn
 	c.state = l
@@ -28,7 +29,7 @@
 
 func (l *lingeringClose) ready(uint32) { l.discard() }
 
-// discard reads until the client has closed.
+// discard reads and drops the available input. It closes the connection if the client has closed it.
 func (l *lingeringClose) discard() {
 	c := l.conn
 	for range maxReadsPerTurn {
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -13,11 +13,11 @@
 	"salttrack/internal/loop"
 )
 
-// failingAccept fails the first calls of Accept with an error.
+// failingAccept makes the first calls of Accept fail with an error.
 type failingAccept struct {
 	loop.Sockets
 	err       error
-	remaining int // calls that still fail
+	remaining int // number of calls that are still to fail
 }
 
 func (f *failingAccept) Accept(fd int) (int, error) {
@@ -28,8 +28,8 @@
 	return f.Sockets.Accept(fd)
 }
 
-// When accept fails transiently at the time at which the listener is to close, it is retried, and the listener closes behind the
-// last connection of its queue.
+// If accepting fails with a transient error when the listener is about to close, it has to be retried, so that the connections in the
+// listener's queue are served before the listener closes.
 func TestListenerCloseRetriesAccept(t *testing.T) {
 	for _, err := range []error{unix.ENFILE, unix.ENOBUFS, unix.ECONNABORTED, unix.EPERM} {
 		s := newTestServer(t, 64, 4)
@@ -48,27 +48,27 @@
 	}
 }
 
-// suspendedAccept suspends the process right after it has found the listener's queue empty for the first time. A client connects
-// meanwhile.
+// suspendedAccept simulates that the process is suspended right after Accept has found the listener's queue empty for the first time.
+// A client connects during the suspension.
 type suspendedAccept struct {
 	loop.Sockets
 	addr      string
-	connected chan net.Conn // the client's connection, nil if it could not connect
-	suspended bool          // it was, once
+	connected chan net.Conn // receives the connection of the client, nil if it failed to connect
+	suspended bool          // the process has been suspended
 }
 
 func (s *suspendedAccept) Accept(fd int) (int, error) {
 	c, err := s.Sockets.Accept(fd)
 	if err == unix.EAGAIN && !s.suspended {
 		s.suspended = true
-		up := make(chan net.Conn, 1)
+		dialed := make(chan net.Conn, 1)
 		go func() {
 			c, _ := net.Dial("tcp", s.addr)
-			up <- c
+			dialed <- c
 			s.connected <- c
 		}()
-		select { // connected at once, or not before the listener is closed
-		case c := <-up:
+		select { // the client either connects at once, or fails to connect when the listener is closed
+		case c := <-dialed:
 			if c != nil {
 				io.WriteString(c, getRequest("1"))
 			}
@@ -78,8 +78,8 @@
 	return c, err
 }
 
-// A client that connects between the last accept and the close of the listener either fails to connect or is served: its request
-// must not be accepted by the kernel and dropped with the listener.
+// A client that connects between the last accept and the close of the listener has to fail to connect or to be served. The kernel
+// must not establish its connection and then reset it when the listener is closed, since its request would be lost.
 func TestConnectBetweenLastAcceptAndClose(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	schedule := s.shutdown(longestDeadline, func() {})
@@ -104,6 +104,6 @@
 			t.Errorf("response %q", body)
 		}
 	case <-time.After(epolltest.Patience):
-		t.Fatal("the client neither connects nor fails to")
+		t.Fatal("the client neither connected nor failed to connect")
 	}
 }
--- a/internal/downstream/overflow_test.go
+++ b/internal/downstream/overflow_test.go
@@ -6,10 +6,10 @@
 	"salttrack/balance"
 )
 
-// With a full table only connections that have been inactive for minInactivity are closed, responses announce the end of their
-// connection, and requests on overflow connections are rejected.
-func TestFullTable(t *testing.T) {
-	s := newTestServer(t, 8, 2) // the client side may have six of these
+// When the descriptor quota is exhausted, only connections that have been inactive for minInactivity may be shed, responses have to
+// announce the end of their connections, and requests on overflow connections have to be rejected.
+func TestDescriptorQuotaExhausted(t *testing.T) {
+	s := newTestServer(t, 8, 2) // the server's quota is 6 of these 8 descriptors
 	var all []*client
 	for range 6 {
 		all = append(all, s.connect())
@@ -20,7 +20,7 @@
 	if resp, _ := seventh.response(); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("overflow connection: status %d, closes %v", resp.StatusCode, resp.Close)
 	}
-	for _, c := range all[:1] { // none of them was closed for the seventh
+	for _, c := range all[:1] { // no connection was shed for the seventh
 		c.send(getRequest("1"))
 		s.serve(s.nextExchange(), "ok")
 		if resp, got := c.response(); got != "ok" || !resp.Close {
@@ -32,14 +32,14 @@
 	}
 	s.WaitFor("client_connections_open", 5)
 	if s.Counted("client_connections_shed") != 0 || s.Counted("client_overflow_rejected") != 1 {
-		t.Errorf("%d connections shed, %d requests rejected", s.Counted("client_connections_shed"), s.Counted("client_overflow_rejected"))
+		t.Errorf("%d connections shed, want 0; %d requests rejected on overflow connections, want 1", s.Counted("client_connections_shed"), s.Counted("client_overflow_rejected"))
 	}
-	s.Do(func() { // as if minInactivity had passed
+	s.Do(func() { // has the same effect as waiting for minInactivity
 		for e := s.server.readingConns.Front(); e != nil; e = e.Next() {
 			e.Value.(*conn).reader.lastActivity -= minInactivity
 		}
 	})
-	for _, txn := range []string{"8", "9"} { // the first one needs none to be shed
+	for _, txn := range []string{"8", "9"} { // one descriptor is free, so only the second request needs a connection to be shed
 		s.connect().send(getRequest(txn))
 		s.nextExchange()
 	}
@@ -48,15 +48,16 @@
 	}
 }
 
-// How long a connection must have been inactive before it may be shed depends on what is likely to be on its way.
-func TestShedding(t *testing.T) {
+// The time for which a connection must have been inactive before it may be shed depends on its state, and for idle connections on
+// whether the limit on overflow connections is reached.
+func TestMinInactivityBeforeShed(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
-		sent       string // of a request
-		responded  bool
+		sent       string // the part of a request that the client has sent
+		responded  bool   // the connection has served a request before
 		inactivity balance.Millis
-		pressure   bool // overflow connections are exhausted
-		want       bool
+		pressure   bool // the limit on overflow connections is reached
+		want       bool // the connection is shed
 	}{
 		{"idle, 0.5 s", "", true, 500, false, false},
 		{"idle, 1 s", "", true, 1000, false, true},
@@ -93,9 +94,9 @@
 	}
 }
 
-// A request on an overflow connection is served if the table has capacity when it arrives.
+// A request on an overflow connection has to be served if a descriptor is available when the request arrives.
 func TestPromotionFromOverflow(t *testing.T) {
-	s := newTestServer(t, 4, 2) // the client side may have three of these
+	s := newTestServer(t, 4, 2) // the server's quota is 3 of these 4 descriptors
 	first := s.connect()
 	s.connect()
 	s.connect()
@@ -113,14 +114,15 @@
 	s.WaitFor("client_connections_open", 2)
 	s.Do(func() {
 		if s.server.overflowConns != 0 || s.server.quota.Open() != 2 {
-			t.Errorf("%d overflow connections, %d in the table", s.server.overflowConns, s.server.quota.Open())
+			t.Errorf("%d overflow connections, want 0; %d regular connections, want 2", s.server.overflowConns, s.server.quota.Open())
 		}
 	})
 }
 
-// A request that arrives slowly on an overflow connection is rejected, not dropped.
+// A request that arrives slowly on an overflow connection has to get a response with status 503. The timeout must not close the
+// connection while the request is arriving.
 func TestSlowRequestOnOverflowConnection(t *testing.T) {
-	s := newTestServer(t, 4, 2) // the client side may have three of these
+	s := newTestServer(t, 4, 2) // the server's quota is 3 of these 4 descriptors
 	for range 3 {
 		s.connect()
 	}
@@ -129,10 +131,10 @@
 	c.send(getRequest("1")[:40])
 	s.WaitFor("client_connections_open", 4)
 	s.Do(func() {
-		for !s.server.readingConns.Back().Value.(*conn).reader.decoder.Started() { // until the first bytes are received
+		for !s.server.readingConns.Back().Value.(*conn).reader.decoder.Started() { // until the first bytes have been read
 			s.server.readingConns.Back().Value.(*conn).reader.read()
 		}
-		s.Loop.Timers.Run(s.Loop.Now() + overflowTimeout) // they arrived right before the timeout
+		s.Loop.Timers.Run(s.Loop.Now() + overflowTimeout) // the timeout expires right after the first bytes were read
 	})
 	c.send(getRequest("1")[40:])
 	if resp, _ := c.response(); resp.StatusCode != 503 {
@@ -140,10 +142,10 @@
 	}
 }
 
-// Every request that was read has its response on an overflow connection too: it closes behind the last one.
+// Each pipelined request on an overflow connection has to get a response. The connection closes after the last one.
 func TestPipelinedOnOverflowConnection(t *testing.T) {
 	s := newTestServer(t, 4, 4)
-	for _, txn := range []string{"1", "2", "3"} { // all that the client side may have
+	for _, txn := range []string{"1", "2", "3"} { // exhausts the server's quota of 3 descriptors
 		s.connect().send(getRequest(txn))
 		s.nextExchange()
 	}
--- a/internal/downstream/pending.go
+++ b/internal/downstream/pending.go
@@ -6,11 +6,11 @@
 	"salttrack/internal/loop"
 )
 
-// pendingResponse is the state of a connection whose request is complete and has no response yet. Nothing is read meanwhile, so
-// that the client's close is its only event.
+// pendingResponse is the state of a connection whose request is complete and has no response yet. In this state nothing is read, so
+// the only events are the client's close and errors.
 type pendingResponse struct {
 	conn     *conn
-	exchange *exchange.Exchange // also set during an upload; nil in all other states
+	exchange *exchange.Exchange // set in the states pendingResponse and requestStream; nil otherwise
 }
 
 func (p *pendingResponse) ready(events uint32) {
@@ -19,13 +19,13 @@
 	}
 }
 
-// detachExchange removes the exchange from the connection: it has ended, or ends now.
+// detachExchange removes an exchange that has ended, or is about to end, from the connection. It frees the request id.
 func (p *pendingResponse) detachExchange(x *exchange.Exchange) {
 	p.exchange = nil
 	delete(p.conn.server.openRequestIDs, x.Message.(*http1.Request).ID)
 }
 
-// requestID is the id of the request that has no response yet, "" if there is none.
+// requestID returns the id of the request that has no response yet, "" if there is none.
 func (p *pendingResponse) requestID() string {
 	if p.exchange == nil {
 		return ""
--- a/internal/downstream/reader.go
+++ b/internal/downstream/reader.go
@@ -11,35 +11,36 @@
 	"salttrack/internal/loop"
 )
 
-// requestReader is the state of a connection that is idle or receives a request: its head, and its body if that is short.
+// requestReader is the state of a connection that is idle or receives a request. A body that is too large to be buffered is received
+// in the state requestStream.
 type requestReader struct {
 	conn         *conn
 	decoder      *http1.RequestDecoder
-	listElement  *list.Element  // in the server's idle connections; nil in all other states
-	lastActivity balance.Millis // when the last byte was received, or the connection became idle
-	receivedAt   balance.Millis // earliest arrival of the bytes that are being decoded
-	requestCount int            // complete requests so far
-	unread       []byte         // received behind the last request, and not decoded yet
-	resuming     bool           // resume is running
+	listElement  *list.Element  // element of the server's readingConns; nil in all other states
+	lastActivity balance.Millis // time at which the last byte was received or the connection became idle
+	receivedAt   balance.Millis // earliest time at which the bytes that are being decoded may have arrived
+	requestCount int            // number of requests that have been dispatched
+	unread       []byte         // bytes that were received after the last request and have not been decoded yet
+	resuming     bool           // a call of resume is running
 	body         bodyProgress
 
-	continueSent   bool   // the interim response 100 Continue was given
-	unsentContinue []byte // the part of it that could not be written, which precedes the response
+	continueSent   bool   // the server has tried to write 100 Continue and does not try again
+	unsentContinue []byte // rest of 100 Continue that could not be written yet; it is written before the response
 }
 
-// bodyProgress is the progress of a request's body in the present bodyProgressInterval.
+// bodyProgress is the progress of a request body in the current bodyProgressInterval.
 type bodyProgress struct {
 	started         bool // the head is complete
-	bytesSinceCheck int
-	paused          bool // reading had to wait for buffer space
+	bytesSinceCheck int  // bytes of the body that were received in the interval
+	paused          bool // reading has had to wait for buffer space in the interval
 }
 
-// sufficient reports whether the body may continue for another interval.
+// sufficient reports whether the progress is large enough for the body to get another interval.
 func (p *bodyProgress) sufficient() bool {
 	return p.started && (p.bytesSinceCheck >= minBodyBytesPerInterval || p.paused)
 }
 
-// startReading makes the connection ready for its next request.
+// startReading prepares the connection for its next request and starts the timeout for it.
 func (c *conn) startReading() {
 	r := &c.reader
 	c.state = r
@@ -52,7 +53,7 @@
 	switch {
 	case c.overflow:
 		c.startTimer(overflowTimeout, r.overflowTimedOut)
-	case !c.responded: // a client that connects and sends nothing must not keep the descriptor for idleTimeout
+	case !c.responded: // a client that sends nothing after connecting must not hold a descriptor for the whole idleTimeout
 		c.startTimer(requestTimeout, c.requestTimedOut)
 	default:
 		c.startTimer(idleTimeout, c.requestTimedOut)
@@ -61,8 +62,8 @@
 
 func (r *requestReader) ready(uint32) { r.read() }
 
-// read reads until a request is complete. Only one request is handled in a turn of the loop, so that a client which sends
-// hundreds at once does not delay the others.
+// read reads until a request is complete or no more input is available. It returns after the read that has completed a request, so
+// that a client that pipelines hundreds of requests does not delay the others.
 func (r *requestReader) read() {
 	c := r.conn
 	count := r.requestCount
@@ -82,8 +83,9 @@
 	}
 }
 
-// resume decodes what was read behind the request that has now been answered. It is a loop, not a recursion: the response to
-// each request may be given before decoding returns, and a client may send hundreds at once.
+// resume decodes the bytes that were received after the request whose response has just been sent. A response may be sent while the
+// request is still being decoded, which calls resume again. That call returns at once and the outer call continues, so that hundreds
+// of pipelined requests do not cause deep recursion.
 func (r *requestReader) resume() {
 	if r.resuming {
 		return
@@ -97,7 +99,7 @@
 	r.resuming = false
 }
 
-// decodeShared decodes bytes of the server's read buffer, and copies what follows a complete request.
+// decodeShared decodes bytes in the server's read buffer. It copies the bytes after a complete request, since the buffer is reused.
 func (r *requestReader) decodeShared(p []byte) {
 	if n, complete := r.decode(p); complete {
 		r.unread = bytes.Clone(p[n:])
@@ -105,7 +107,7 @@
 	}
 }
 
-// decodeOwned decodes bytes that belong to the connection.
+// decodeOwned decodes bytes that the connection owns. It does not copy the bytes after a complete request.
 func (r *requestReader) decodeOwned(p []byte) {
 	if n, complete := r.decode(p); complete {
 		r.unread = p[n:]
@@ -113,10 +115,12 @@
 	}
 }
 
-// decode decodes bytes of a request. It reports how many, and whether a request is complete that is still to be dispatched.
+// decode decodes bytes of a request. It returns the number of bytes consumed, and whether the request is complete and has to be
+// dispatched by the caller.
 func (r *requestReader) decode(p []byte) (n int, complete bool) {
 	c := r.conn
-	if !r.decoder.Started() && !c.overflow && c.responded { // else the time since the accept counts: no byte extends it
+	// The timeouts of the first request and of overflow connections count from the accept, so a first byte does not restart them.
+	if !r.decoder.Started() && !c.overflow && c.responded {
 		c.startTimer(requestTimeout, c.requestTimedOut)
 	}
 	n, err := r.decoder.Feed(p)
@@ -125,18 +129,18 @@
 		return n, false
 	}
 	if r.decoder.NeedsStreaming() {
-		c.startUpload(bytes.Clone(p[n:]))
+		c.startRequestStream(bytes.Clone(p[n:]))
 		return n, false
 	}
 	if !r.decoder.Complete() {
-		r.incomplete(n)
+		r.handleIncomplete(n)
 		return n, false
 	}
 	return n, true
 }
 
-// incomplete handles n bytes of a request whose rest is still missing.
-func (r *requestReader) incomplete(n int) {
+// handleIncomplete updates timeouts and the progress of the body after n bytes of an incomplete request have been decoded.
+func (r *requestReader) handleIncomplete(n int) {
 	c := r.conn
 	r.sendContinue()
 	if r.decoder.InBody() {
@@ -151,14 +155,15 @@
 	c.server.readingConns.MoveToBack(r.listElement)
 }
 
-// dispatch hands over the complete request of the decoder.
+// dispatch dispatches the decoder's complete request and stops reading until its response has been sent.
 func (r *requestReader) dispatch() {
 	r.conn.stopReading()
 	r.conn.server.Loop.Watch(r.conn.fd, loop.Hup)
 	r.conn.dispatch(r.decoder.Request())
 }
 
-// sendContinue writes 100 Continue if the client waits for it. A client that does not get it sends the body after a moment.
+// sendContinue writes 100 Continue if the client waits for it. A write error is ignored: a client that does not receive 100 Continue
+// sends the body after a delay.
 func (r *requestReader) sendContinue() {
 	if !r.decoder.ExpectsContinue() || r.continueSent {
 		return
@@ -170,14 +175,14 @@
 	}
 }
 
-// popUnsentContinue returns what has to be written ahead of the response.
-func (r *requestReader) popUnsentContinue() []byte {
+// takeUnsentContinue returns and clears the unsent part of 100 Continue, which has to be written before the response.
+func (r *requestReader) takeUnsentContinue() []byte {
 	p := r.unsentContinue
 	r.unsentContinue = nil
 	return p
 }
 
-// overflowTimedOut closes an overflow connection, unless a request is still arriving on it.
+// overflowTimedOut closes an overflow connection, unless it has received bytes of a request within the last overflowTimeout.
 func (r *requestReader) overflowTimedOut() {
 	c := r.conn
 	if r.decoder.Started() && c.server.Loop.Now()-r.lastActivity < overflowTimeout {
@@ -187,7 +192,8 @@
 	c.close(reasonNoDescriptor)
 }
 
-// idleTimedOut closes an idle connection, unless a request has just arrived.
+// idleTimedOut closes an idle connection. If the kernel has received bytes of a request that have not been read yet, it reads them
+// instead.
 func (r *requestReader) idleTimedOut() {
 	c := r.conn
 	if !c.server.Loop.IdleOpen(c.fd) {
@@ -198,8 +204,8 @@
 	c.close(reasonIdleTimeout)
 }
 
-// requestTimedOut ends a connection whose request has not arrived in time. A body that makes progress, or has to wait for buffer
-// space, has another interval.
+// requestTimedOut handles the timeout of a connection that is idle or receives a request. A body that makes sufficient progress, or
+// whose reading had to wait for buffer space, gets another interval. Any other incomplete request is rejected.
 func (c *conn) requestTimedOut() {
 	r := &c.reader
 	if !r.decoder.Started() {
@@ -209,15 +215,15 @@
 	if r.body.sufficient() {
 		r.body.bytesSinceCheck = 0
 		r.body.paused = false
-		if c.upload.active() {
-			c.upload.checkPaused()
+		if c.requestStream.active() {
+			c.requestStream.checkPaused()
 		}
 		c.startTimer(bodyProgressInterval, c.requestTimedOut)
 		return
 	}
 	c.server.counters.requestsTimedOut.Inc()
-	if c.upload.active() {
-		c.upload.reject(http1.StatusRequestTimeout)
+	if c.requestStream.active() {
+		c.requestStream.reject(http1.StatusRequestTimeout)
 		return
 	}
 	c.rejectAndClose(http1.StatusRequestTimeout)
--- a/internal/downstream/reader_test.go
+++ b/internal/downstream/reader_test.go
@@ -13,17 +13,17 @@
 	"salttrack/internal/http1"
 )
 
-// A request is the same however its bytes are split.
-func TestRequestInPieces(t *testing.T) {
+// A request has to be decoded in the same way for all sizes of the fragments in which its bytes arrive.
+func TestRequestInFragments(t *testing.T) {
 	s := newTestServer(t, 64, 4)
-	body := strings.Repeat("0123456789abcdef", 4096) // the largest short body
+	body := strings.Repeat("0123456789abcdef", 4096) // the largest body that is buffered
 	request := fmt.Sprintf("POST /keep/x HTTP/1.1\r\nX-Txn: 1\r\nx-lane: keep\r\nX-Remaining: 0.480\r\nIdempotency-Key: k1\r\n"+
 		"X-Resent: 1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	for _, piece := range []int{1 << 20, 7, 1000} {
+	for _, size := range []int{1 << 20, 7, 1000} {
 		c := s.connect()
 		for p := request; len(p) > 0; {
-			n := min(piece, len(p))
-			if piece == 7 && len(p) < len(body) {
+			n := min(size, len(p))
+			if size == 7 && len(p) < len(body) { // sends most of the body at once, to save time
 				n = len(p)
 			}
 			c.send(p[:n])
@@ -35,7 +35,7 @@
 		}
 		s.Do(func() {
 			if remaining := x.RespondBy - s.Loop.Now(); remaining > 470 {
-				t.Errorf("%.0f ms remain of 480, with a margin of 10", remaining)
+				t.Errorf("%.0f ms remain, want at most 480 ms minus a margin of 10 ms", remaining)
 			}
 		})
 		s.serve(x, body)
@@ -45,7 +45,7 @@
 	}
 }
 
-// A request's deadline counts from the arrival of its last byte.
+// The deadline of a request has to count from the arrival of its last byte.
 func TestDeadlineStartsAtLastByte(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
@@ -60,14 +60,14 @@
 	}
 	var after float64
 	s.Do(func() { after = s.Loop.Now() })
-	s.Do(func() {}) // what is read from now on arrived later
+	s.Do(func() {}) // starts another turn of the loop, so that bytes read from now on count as arrived after this time
 	c.send(getRequest("1")[40:])
 	if x := s.nextExchange(); x.ClientDeadline < after+2000 {
-		t.Errorf("%.3f ms of 2 s had passed at the last byte", after+2000-x.ClientDeadline)
+		t.Errorf("the deadline is %.3f ms too early for a remaining time of 2 s after the last byte", after+2000-x.ClientDeadline)
 	}
 }
 
-// Requests on one connection are handled one after the other.
+// Pipelined requests on one connection have to be handled in sequence.
 func TestPipelined(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
@@ -75,7 +75,7 @@
 	x := s.nextExchange()
 	select {
 	case <-s.accepted:
-		t.Fatal("a second request was accepted before the first had its response")
+		t.Fatal("the second request was dispatched before the response to the first one")
 	default:
 	}
 	s.serve(x, "one")
@@ -89,13 +89,13 @@
 	}
 }
 
-// A client that waits for 100 Continue gets it.
-func TestContinue(t *testing.T) {
+// A client that waits for 100 Continue has to receive it.
+func TestExpectContinue(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
 	c.send("POST /pay HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: pay\r\nX-Remaining: 1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	if line, err := c.in.ReadString('\n'); err != nil || !strings.Contains(line, "100") {
-		t.Fatalf("%q %v", line, err)
+		t.Fatalf("error %v, status line %q, want status 100", err, line)
 	}
 	c.in.ReadString('\n')
 	c.send("ab")
@@ -105,16 +105,17 @@
 	}
 }
 
-// The timeout of the first request counts from the accept, and no byte of its head extends it. A body has an interval of its own.
+// The timeout of the first request on a connection has to count from the accept, and no byte of the head may extend it. The body has
+// an interval of its own.
 func TestRequestTimeout(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		pieces []string
-		status int // 0 for a close
+		name      string
+		fragments []string
+		status    int // 0 if the connection is closed without a response
 	}{
 		{"nothing sent", nil, 0},
 		{"partial head", []string{getRequest("1")[:40]}, 408},
-		{"head in small pieces", []string{getRequest("1")[:10], getRequest("1")[10:20], getRequest("1")[20:40]}, 408},
+		{"head in small fragments", []string{getRequest("1")[:10], getRequest("1")[10:20], getRequest("1")[20:40]}, 408},
 		{"partial body", []string{"POST /pay HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: pay\r\nX-Remaining: 1\r\nContent-Length: 9\r\n\r\nab"}, 408},
 	} {
 		s := newTestServer(t, 64, 4)
@@ -122,7 +123,7 @@
 		s.WaitFor("client_connections_accepted", 1)
 		var before, after float64
 		s.Do(func() { before, _ = s.Loop.Timers.Next() })
-		for _, p := range tt.pieces {
+		for _, p := range tt.fragments {
 			previous := s.lastActivity()
 			c.send(p)
 			for s.lastActivity() == previous {
@@ -131,7 +132,7 @@
 		}
 		s.Do(func() { after, _ = s.Loop.Timers.Next() })
 		if extended := after - before; extended != 0 && (tt.name != "partial body" || extended > bodyProgressInterval) {
-			t.Errorf("%s: the timeout was extended by %.1f ms", tt.name, extended)
+			t.Errorf("%s: the received bytes extended the timeout by %.1f ms", tt.name, extended)
 		}
 		s.Pass(requestTimeout + 1)
 		if tt.status > 0 {
@@ -143,12 +144,12 @@
 		idleClosed := s.Counted("client_connections_idle_closed")
 		timedOut := s.Counted("client_requests_timed_out")
 		if idleClosed+timedOut != 1 || (timedOut == 1) != (tt.status > 0) {
-			t.Errorf("%s: %d idle connections closed, %d requests timed out", tt.name, idleClosed, timedOut)
+			t.Errorf("%s: %d idle connections closed and %d requests timed out, want one of them in total", tt.name, idleClosed, timedOut)
 		}
 	}
 }
 
-// The depth of calls does not grow with the number of requests that a client sends at once.
+// The depth of the call stack must not grow with the number of pipelined requests.
 func TestPipelinedRequestsDoNotRecurse(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
@@ -166,11 +167,11 @@
 		t.Errorf("response %q", got)
 	}
 	if n := <-depth; n > 40 {
-		t.Errorf("the last one is accepted %d calls deep", n)
+		t.Errorf("the call stack was %d frames deep at the last request, want at most 40", n)
 	}
 }
 
-// In one turn of the loop no more than one read of pipelined requests is handled.
+// In one turn of the event loop, at most the pipelined requests of one read may be handled.
 func TestPipelinedRequestsYield(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
@@ -181,7 +182,7 @@
 	var before, after uint64
 	s.Do(func() {
 		x.Respond(exchange.Response{Disposition: exchange.Served})
-		for c := range s.server.conns { // one turn, after all bytes have arrived
+		for c := range s.server.conns { // calls read once, as one turn does, after all bytes have arrived
 			for n := 0; n < 2*readBufferBytes; {
 				n, _ = unix.IoctlGetInt(c.fd, unix.TIOCINQ)
 			}
@@ -191,14 +192,14 @@
 		}
 	})
 	if n := int(after - before); n == 0 || n > readBufferBytes/len(invalid)+1 {
-		t.Errorf("%d requests were handled in one turn, want those of one read at most", n)
+		t.Errorf("%d requests were handled in one turn, want 1 to %d", n, readBufferBytes/len(invalid)+1)
 	}
 }
 
-// depthRecorder records how deep in calls a request is accepted.
+// depthRecorder is a request handler that records the depth of the call stack when it is called.
 type depthRecorder struct {
 	*testServer
-	depth chan int
+	depth chan int // depth of the call stack in frames
 }
 
 func (d depthRecorder) HandleRequest(x *exchange.Exchange) {
--- a/internal/downstream/reason.go
+++ b/internal/downstream/reason.go
@@ -2,7 +2,7 @@
 
 import "salttrack/internal/trace"
 
-// Why connections of clients are closed, and why requests are rejected before they become an exchange.
+// Reasons why client connections are closed or requests are rejected without an exchange. They are written to trace events.
 const (
 	reasonConnectionBroken   trace.Reason = "connection broken"
 	reasonClosedByClient     trace.Reason = "closed by client"
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -6,38 +6,39 @@
 	"salttrack/internal/loop"
 )
 
-// responseWriter is the state of a connection on which a complete response is being written.
+// responseWriter is the state of a connection on which a response with a complete body is being written.
 type responseWriter struct {
 	conn       *conn
-	unsent     []byte // of the response, or of the head of a streamed one
-	closeAfter bool   // the connection ends with the present response
-	writing    bool   // write is running
+	unsent     []byte // unsent bytes of the response, or of the head of a streamed response
+	closeAfter bool   // the connection ends after the current response
+	writing    bool   // a call of write is running
 }
 
-// respond writes a response. If the rest of the request is not going to be read, nothing can follow the response.
+// respond starts to write a response with a complete body. If the request body has not been received completely, its rest is
+// discarded and the connection ends after the response.
 func (w *responseWriter) respond(head http1.ResponseHead, body []byte) {
 	c := w.conn
 	c.checkMayRespond()
-	if c.upload.abandon() {
+	if c.requestStream.abandon() {
 		head.Close = true
 		c.linger.timeout = incompleteRequestLinger
 	}
 	w.closeAfter = w.closeAfter || head.Close || c.shouldClose()
 	head.Close = w.closeAfter
 	c.server.counters.responses[head.Status].Inc()
-	w.unsent = http1.AppendResponse(c.reader.popUnsentContinue(), head, body)
+	w.unsent = http1.AppendResponse(c.reader.takeUnsentContinue(), head, body)
 	c.state = w
 	c.startTimer(responseWriteTimeout, w.timedOut)
 	w.write()
 }
 
-// checkMayRespond checks that the connection has no response yet.
+// checkMayRespond checks the invariant that no other response is being written and that no exchange is open.
 func (c *conn) checkMayRespond() {
 	invariant.Check(c.writer.unsent == nil && c.pending.exchange == nil && !c.linger.started, "a connection has one response at a time")
 }
 
-// shouldClose reports whether the connection is to end with its response, which is the only way to have fewer connections
-// without losing a request. What was received already is answered first.
+// shouldClose reports whether the connection should end after its response, to reduce the number of connections. Announcing the close
+// in a response is the only way to do so without losing a request. Requests that have already been received are served first.
 func (c *conn) shouldClose() bool {
 	switch {
 	case c.overflow:
@@ -58,10 +59,11 @@
 	}
 }
 
-// timedOut closes a connection whose client does not read its response.
+// timedOut closes a connection whose client has not read its response in time.
 func (w *responseWriter) timedOut() { w.conn.fail(reasonResponseNotRead) }
 
-// write writes what the kernel accepts of the response, and continues with the next request after the last byte.
+// write writes as much of the response as the kernel accepts. After the last byte the connection starts to read the next request, or
+// closes.
 func (w *responseWriter) write() {
 	c := w.conn
 	if w.writing || c.closed() {
@@ -84,15 +86,16 @@
 	c.reader.resume()
 }
 
-// next returns what is to be written now.
+// next returns the next bytes to write. They are empty if no more bytes of the response are available.
 func (w *responseWriter) next() []byte {
-	if len(w.unsent) > 0 || !w.conn.stream.active() {
+	if len(w.unsent) > 0 || !w.conn.responseStream.active() {
 		return w.unsent
 	}
-	return w.conn.stream.encoder.Next()
+	return w.conn.responseStream.encoder.Next()
 }
 
-// writeAvailable writes what there is of the response, and reports whether that completes it.
+// writeAvailable writes the available bytes of the response until the kernel accepts no more. It reports whether the whole response
+// has been written.
 func (w *responseWriter) writeAvailable() (complete bool) {
 	c := w.conn
 	for p := w.next(); len(p) > 0; p = w.next() {
@@ -107,12 +110,12 @@
 			return false
 		}
 	}
-	return !c.stream.active() || c.stream.finish()
+	return !c.responseStream.active() || c.responseStream.finish()
 }
 
-// advance records that n bytes of what next returned are written.
+// advance records that the first n bytes of the slice that next returned have been written.
 func (w *responseWriter) advance(n int) {
-	stream := &w.conn.stream
+	stream := &w.conn.responseStream
 	if len(w.unsent) > 0 {
 		w.unsent = w.unsent[n:]
 	} else {
@@ -123,10 +126,10 @@
 	}
 }
 
-// watchWritable waits until the kernel accepts more.
+// watchWritable watches the descriptor until the kernel accepts more bytes.
 func (w *responseWriter) watchWritable() {
 	events := uint32(loop.Out)
-	if w.conn.stream.active() {
+	if w.conn.responseStream.active() {
 		events |= loop.Hup
 	}
 	w.conn.server.Loop.Watch(w.conn.fd, events)
--- a/internal/downstream/response_test.go
+++ b/internal/downstream/response_test.go
@@ -7,7 +7,8 @@
 	"salttrack/internal/exchange"
 )
 
-// The status and Retry-After of a response by the disposition of its exchange.
+// The status and Retry-After of a response have to match the disposition of its exchange. Only the first response of an exchange may
+// be sent.
 func TestResponses(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
@@ -26,7 +27,7 @@
 		x := s.nextExchange()
 		s.Do(func() {
 			if !x.Respond(tt.response) || x.Respond(exchange.Response{Disposition: exchange.Failed}) {
-				t.Error("an exchange accepts two responses")
+				t.Error("the first response was refused or the second one was not")
 			}
 		})
 		if resp, _ := c.response(); resp.StatusCode != tt.status || resp.Header.Get("Retry-After") != tt.retryAfter {
@@ -35,7 +36,8 @@
 	}
 }
 
-// Closing with unread input sends a reset, which must not destroy the response.
+// A client that is still sending its request body must receive a response that was sent early. Closing the connection with unread
+// input would send a reset, by which the client would lose the response.
 func TestResponseBeforeUnreadInput(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
@@ -47,12 +49,12 @@
 	c.expectEOF()
 }
 
-// A slow client gets all of its responses, and does not delay others.
+// A client that reads slowly has to receive all of its responses and must not delay other clients.
 func TestSlowClient(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	slow := s.connect()
 	body := strings.Repeat("y", 64<<10)
-	const many = 300 // responses, more than the kernel buffers
+	const many = 300 // number of responses; together they exceed the socket buffers of the kernel
 	slow.send(strings.Repeat(getRequest("1"), many))
 	go func() {
 		for x := range s.accepted {
@@ -62,16 +64,16 @@
 	fast := s.connect()
 	fast.send(getRequest("2"))
 	if _, got := fast.response(); got != body {
-		t.Error("the fast client got another response")
+		t.Error("the fast client received a wrong response")
 	}
 	for range many {
 		if _, got := slow.response(); got != body {
-			t.Fatal("the slow client got another response")
+			t.Fatal("the slow client received a wrong response")
 		}
 	}
 }
 
-// The connection ends with the response where the request says so.
+// The connection has to end after the response if the request contains Connection: close or is an HTTP/1.0 request.
 func TestConnectionClose(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	for _, in := range []string{
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,5 +1,9 @@
-// Package downstream is the client side: it accepts connections, reads requests from them, hands these to the request handler
-// as exchanges, and writes the responses. All of it runs on the loop.
+// Package downstream is the server that clients connect to. It accepts connections, receives requests, passes them as exchanges to a
+// RequestHandler, and sends the responses. All its code runs on one event loop.
+//
+// The number of regular connections is limited by a quota of the descriptors of the process. When the quota is exhausted, a limited
+// number of further connections is accepted as overflow connections. Requests on overflow connections are rejected with status 503,
+// unless a descriptor has become available when the request arrives.
 package downstream
 
 import (
@@ -16,54 +20,55 @@
 	"salttrack/internal/trace"
 )
 
-// RequestHandler handles requests. Responses come back by the exchange.
+// RequestHandler handles requests. It sends each response with Exchange.Respond.
 type RequestHandler interface {
-	// HandleRequest handles a new request. The response may be given before HandleRequest returns.
+	// HandleRequest handles a new request. The response may be sent before HandleRequest returns.
 	HandleRequest(*exchange.Exchange)
-	// ClientDisconnected reports that the client no longer waits for its response, or that its body was rejected.
+	// ClientDisconnected reports that the client has disconnected before its response, or that the rest of a streamed request body
+	// was rejected.
 	ClientDisconnected(*exchange.Exchange)
-	// RequestComplete reports the last byte of a request that was accepted without it.
+	// RequestComplete reports that the last byte of a streamed request body has been received.
 	RequestComplete(*exchange.Exchange)
-	// SetShutdownDeadline sets the latest time of a response for every exchange, open or later.
+	// SetShutdownDeadline sets the time by which all current and future exchanges must have their responses.
 	SetShutdownDeadline(balance.Millis)
 }
 
-// Options is what a server works with.
+// Options are the dependencies and fixed limits of a server.
 type Options struct {
 	Loop          *loop.Loop
 	Descriptors   *loop.DescriptorTable
-	OverflowLimit int // connections beyond the table, whose requests are rejected with 503
+	OverflowLimit int // maximum number of overflow connections
 	Counters      *counter.Set
-	Buffers       *bodystream.BufferPool
-	Synced        func() bool   // whether the endpoint list and the overrides in force are known
-	Trace         *trace.Tracer // nil for none
-	// OnPhase is called when a phase of the shutdown begins, with the number of open connections; nil for nobody.
+	Buffers       *bodystream.BufferPool // buffers for streamed bodies
+	Synced        func() bool            // reports whether the endpoint list and the overrides are known
+	Trace         *trace.Tracer          // nil disables tracing
+	// OnPhase is called when a phase of the shutdown begins, with the number of open connections. It may be nil.
 	OnPhase func(phase shutdown.Phase, connections int)
 }
 
-// Settings is what the client side uses of the settings in force. It is read-only once it has been applied.
+// Settings are the settings of the server that can be reloaded. They must not be modified after ApplySettings.
 type Settings struct {
-	Classes         map[string]uint8      // numbers of the classes that requests may name
-	Idempotency     []balance.Idempotency // by class number
-	LongestDeadline balance.Millis        // of the classes that requests may name
-	ResponseMargin  balance.Millis        // between the response and the time at which the client gives up
+	Classes         map[string]uint8      // class numbers by the class names that are valid in requests
+	Idempotency     []balance.Idempotency // indexed by class number
+	LongestDeadline balance.Millis        // longest deadline of all classes in Classes
+	ResponseMargin  balance.Millis        // time between RespondBy and ClientDeadline of an exchange
 }
 
-// Server is the client side of one balancer. It owns the listening socket from Listen or ListenOn on, and all accepted
-// connections, until Close.
+// Server accepts client connections and serves their requests. It owns the listening socket, from the call of Listen or ListenOn,
+// and all accepted connections until Close.
 type Server struct {
 	Options
 	handler        RequestHandler
 	settings       *Settings
-	listener       int // descriptor, -1 while there is none
+	listener       int // descriptor of the listening socket, -1 if it is not open
 	conns          map[*conn]struct{}
-	openRequestIDs map[string]struct{} // of the requests that have no response yet
-	readingConns   *list.List          // of *conn without a complete request, the least recently active first
-	overflowConns  int                 // connections beyond the table
-	quota          *loop.Quota         // of the descriptor table
-	queuedSince    balance.Millis      // earliest arrival of connections that could not be accepted, 0 if there are none
+	openRequestIDs map[string]struct{} // ids of the requests that have no response yet
+	readingConns   *list.List          // list of *conn in the state requestReader, the least recently active first
+	overflowConns  int                 // number of overflow connections
+	quota          *loop.Quota         // quota of descriptors for regular connections
+	queuedSince    balance.Millis      // earliest arrival of the connections that wait in the listener's queue during a pause; 0 if none
 	drain          drain
-	readBuffer     []byte // shared by all connections; valid until the next read
+	readBuffer     []byte // shared by all connections; its contents are valid until the next read
 	counters       counters
 }
 
@@ -71,7 +76,7 @@
 type drain struct {
 	schedule    shutdown.Schedule
 	phaseTimers []*timer.Timer
-	done        func() // called once at the end; nil before the shutdown and after its end
+	done        func() // called once when the shutdown has ended; nil before the shutdown and after its end
 }
 
 // NewServer returns a server that does not listen yet.
@@ -90,10 +95,11 @@
 	return s
 }
 
-// SetRequestHandler sets who handles the requests. It has to be called before the server listens.
+// SetRequestHandler sets the handler of all requests. It has to be called before Listen or ListenOn.
 func (s *Server) SetRequestHandler(h RequestHandler) { s.handler = h }
 
-// ApplySettings sets the settings of requests that are received from now on. During a shutdown they may shorten its schedule.
+// ApplySettings sets the settings for requests that are received from now on. During a shutdown a shorter LongestDeadline shortens
+// the shutdown schedule.
 func (s *Server) ApplySettings(to *Settings) {
 	s.settings = to
 	if s.drain.done != nil {
@@ -110,7 +116,8 @@
 	return s.ListenOn(fd)
 }
 
-// ListenOn accepts connections from a socket that listens already, and owns it from now on.
+// ListenOn accepts connections from a socket that is already listening. The server takes ownership of the descriptor, and closes it
+// if an error is returned.
 func (s *Server) ListenOn(fd int) error {
 	if err := s.Loop.Add(fd, loop.In, s); err != nil {
 		s.Loop.Close(fd)
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -8,15 +8,16 @@
 	"salttrack/internal/shutdown"
 )
 
-// draining reports whether a shutdown has begun.
+// shuttingDown reports whether a shutdown has begun.
 func (s *Server) shuttingDown() bool { return s.drain.schedule.Started() }
 
-// rejectsNewRequests reports whether the shutdown leaves a request that is complete now no time for its response.
+// rejectsNewRequests reports whether a request that becomes complete now has to be rejected, since the shutdown leaves too little time
+// for its response.
 func (s *Server) rejectsNewRequests() bool { return s.drain.schedule.RejectsAt(s.Loop.Now()) }
 
-// Shutdown begins a graceful shutdown. Responses announce the end of their connection, new connections are still accepted until
-// the schedule's StopAccept, and done is called when every request has its response, at the latest at the schedule's end. A second
-// call changes nothing.
+// Shutdown starts a graceful shutdown. Responses announce the end of their connections, and new connections are accepted until
+// StopAccept of the schedule. The function done is called when the listener and all connections are closed, and at ExitBy at the
+// latest. Further calls have no effect.
 func (s *Server) Shutdown(schedule shutdown.Schedule, done func()) {
 	if s.shuttingDown() {
 		return
@@ -25,8 +26,8 @@
 	s.applySchedule(schedule)
 }
 
-// ShutdownWithSuccessor is Shutdown for a process whose successor accepts on the same listening socket: this one is closed at
-// once.
+// ShutdownWithSuccessor starts a graceful shutdown like Shutdown, but closes the listening socket of this process at once. It is for a
+// process whose successor accepts connections from the same listener.
 func (s *Server) ShutdownWithSuccessor(schedule shutdown.Schedule, done func()) {
 	if s.shuttingDown() {
 		return
@@ -35,7 +36,7 @@
 	s.Shutdown(schedule, done)
 }
 
-// applySchedule sets the timers of a schedule, in place of those of the one before.
+// applySchedule applies a shutdown schedule and sets its timers. It replaces the previous schedule.
 func (s *Server) applySchedule(schedule shutdown.Schedule) {
 	s.stopPhaseTimers()
 	s.drain.schedule = schedule
@@ -57,8 +58,9 @@
 	s.endIfIdle()
 }
 
-// stopAccepting closes the listener once its queue is empty, since clients regard what is in it as accepted. No connection may
-// enter the queue between the last accept and the close, however long the process is suspended there.
+// stopAccepting accepts all connections in the listener's queue and closes the listener. Clients regard connections in the queue as
+// established, and the close would reset them. StopQueueing makes sure that no connection enters the queue between the last accept and
+// the close, even if the process is suspended in between.
 func (s *Server) stopAccepting() {
 	if s.listener >= 0 {
 		s.Loop.StopQueueing(s.listener)
@@ -72,15 +74,15 @@
 	s.endIfIdle()
 }
 
-// endIfIdle ends the shutdown once the listener and the last connection are closed. It does so in the next turn: whoever closed
-// the connection has still to report what became of its request.
+// endIfIdle ends the shutdown if the listener and all connections are closed. The end is deferred by a timer, since the caller that
+// has closed the last connection may still have to report the outcome of its request.
 func (s *Server) endIfIdle() {
 	if s.drain.done != nil && s.listener < 0 && len(s.conns) == 0 {
 		s.drain.phaseTimers = append(s.drain.phaseTimers, s.Loop.After(0, s.endShutdown))
 	}
 }
 
-// endShutdown reports once that the shutdown has ended.
+// endShutdown ends the shutdown and calls its done function. It does nothing if the shutdown has already ended.
 func (s *Server) endShutdown() {
 	done := s.drain.done
 	if done == nil {
@@ -91,7 +93,7 @@
 	done()
 }
 
-// reportPhase reports the phase of the shutdown that begins.
+// reportPhase calls OnPhase with the current phase of the shutdown.
 func (s *Server) reportPhase() {
 	if s.OnPhase != nil {
 		s.OnPhase(s.drain.schedule.PhaseAt(s.Loop.Now()), len(s.conns))
@@ -105,7 +107,7 @@
 	s.drain.phaseTimers = nil
 }
 
-// Close closes the listener and the connections that a shutdown has not ended.
+// Close closes the listener and all remaining connections.
 func (s *Server) Close() {
 	s.closeListener()
 	for _, c := range s.connsByDescriptor(func(*conn) bool { return true }) {
@@ -113,8 +115,8 @@
 	}
 }
 
-// closeIdle closes idle connections, but not those that have received no request yet: a client connects to send one, and a first
-// request that is on its way would be lost with the connection, whereas a later one would be retried.
+// closeIdle closes the idle connections that have already served a request. New connections stay open, since their first request is
+// probably in transit. Clients retry a request that fails on a reused connection, but not a first request on a new one.
 func (s *Server) closeIdle() {
 	for e := s.readingConns.Front(); e != nil; {
 		c := e.Value.(*conn)
@@ -125,8 +127,9 @@
 	}
 }
 
-// rejectIncomplete ends the connections whose request is not complete when it could no longer be answered in time. Partial
-// requests are rejected: none of them ran, so clients can safely retry elsewhere.
+// rejectIncomplete ends all connections without a complete request when the shutdown leaves too little time for a response. Partial
+// requests are rejected with status 503. No upstream has run them, so clients can safely retry them at another instance. Connections
+// on which no part of a request has arrived are closed.
 func (s *Server) rejectIncomplete() {
 	for e := s.readingConns.Front(); e != nil; {
 		c := e.Value.(*conn)
@@ -138,14 +141,14 @@
 			c.close(reasonShutdownNoRequest)
 		}
 	}
-	for _, c := range s.connsByDescriptor(func(c *conn) bool { return c.upload.active() }) {
-		if c.upload.active() {
-			c.upload.reject(http1.StatusServiceUnavailable)
+	for _, c := range s.connsByDescriptor(func(c *conn) bool { return c.requestStream.active() }) {
+		if c.requestStream.active() {
+			c.requestStream.reject(http1.StatusServiceUnavailable)
 		}
 	}
 }
 
-// connsByDescriptor returns the connections that match, in the order of their descriptors.
+// connsByDescriptor returns the connections that match a condition, sorted by descriptor.
 func (s *Server) connsByDescriptor(match func(*conn) bool) []*conn {
 	var matching []*conn
 	for c := range s.conns {
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -10,9 +10,9 @@
 	"salttrack/internal/shutdown"
 )
 
-// Requests that were received on one connection are all answered before a shutdown closes it. From the schedule's RejectFrom on
-// further ones are rejected, and the connection closes behind them.
-func TestShutdownAnswersReceivedRequests(t *testing.T) {
+// All requests that have been received on a connection must get their responses before a shutdown closes it. Requests that arrive
+// after RejectFrom of the schedule have to be rejected, and the connection closes after them.
+func TestShutdownServesReceivedRequests(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
 	c.send(getRequest("1") + getRequest("2"))
@@ -21,26 +21,26 @@
 	schedule := s.shutdown(longestDeadline, func() { close(done) })
 	s.serve(first, "one")
 	if resp, body := c.response(); body != "one" || resp.Close {
-		t.Errorf("%q, closes %v before the second response", body, resp.Close)
+		t.Errorf("first response %q, closes %v, want an open connection for the second one", body, resp.Close)
 	}
 	second := s.nextExchange()
-	c.send(getRequest("3")) // arrives while the second is pending
+	c.send(getRequest("3")) // arrives before the response to the second request
 	s.Do(func() { busyWait(func() bool { return !s.Loop.IdleOpen(s.fd()) }) })
 	s.serve(second, "two")
 	if resp, body := c.response(); body != "two" || resp.Close {
-		t.Errorf("%q, closes %v before the third response", body, resp.Close)
+		t.Errorf("second response %q, closes %v, want an open connection for the third one", body, resp.Close)
 	}
 	third := s.nextExchange()
 	c.send(getRequest("4"))
-	s.Do(func() { // RejectFrom has passed
+	s.Do(func() { // sets a schedule whose RejectFrom has passed
 		s.server.drain.schedule = shutdown.New(s.Loop.Now()-(schedule.RejectFrom-schedule.SignalledAt), longestDeadline)
 	})
 	s.serve(third, "three")
 	if resp, body := c.response(); body != "three" || resp.Close {
-		t.Errorf("%q, closes %v before the fourth response", body, resp.Close)
+		t.Errorf("third response %q, closes %v, want an open connection for the fourth one", body, resp.Close)
 	}
 	if resp, _ := c.response(); resp.StatusCode != 503 || !resp.Close {
-		t.Errorf("status %d, closes %v after RejectFrom", resp.StatusCode, resp.Close)
+		t.Errorf("after RejectFrom: status %d, closes %v, want 503 and a close", resp.StatusCode, resp.Close)
 	}
 	if n := s.Counted("client_shutdown_rejected"); n != 1 {
 		t.Errorf("%d requests rejected by the shutdown, want 1", n)
@@ -51,45 +51,47 @@
 	<-done
 }
 
+// During a shutdown new connections have to be accepted, readiness checks have to fail, and requests have to be served with responses
+// that announce the end of their connections. The shutdown has to end after the last response, with the listener closed.
 func TestShutdown(t *testing.T) {
 	s := newTestServer(t, 64, 4)
-	kept, busy := s.connect(), s.connect()
-	kept.send("GET /-/ready HTTP/1.1\r\n\r\n")
-	if resp, _ := kept.response(); resp.StatusCode != 200 {
+	idle, busy := s.connect(), s.connect()
+	idle.send("GET /-/ready HTTP/1.1\r\n\r\n")
+	if resp, _ := idle.response(); resp.StatusCode != 200 {
 		t.Fatalf("readiness status %d", resp.StatusCode)
 	}
 	busy.send(getRequest("1"))
 	x := s.nextExchange()
 	done := make(chan struct{})
 	s.shutdown(longestDeadline, func() { close(done) })
-	late := s.connect() // new connections are still accepted
+	late := s.connect() // connects during the shutdown
 	late.send("GET /-/ready HTTP/1.1\r\n\r\n")
 	if resp, _ := late.response(); resp.StatusCode != 503 || !resp.Close {
 		t.Errorf("readiness status %d during the shutdown", resp.StatusCode)
 	}
-	kept.send(getRequest("2"))
+	idle.send(getRequest("2"))
 	s.serve(s.nextExchange(), "two")
-	if resp, got := kept.response(); got != "two" || !resp.Close {
+	if resp, got := idle.response(); got != "two" || !resp.Close {
 		t.Errorf("request on an idle connection: %q, closes %v", got, resp.Close)
 	}
 	s.Do(func() {
 		select {
 		case <-done:
-			t.Error("shutdown ended before the last response")
+			t.Error("the shutdown ended before the last response")
 		default:
 		}
 	})
 	s.serve(x, "one")
 	if _, got := busy.response(); got != "one" {
-		t.Errorf("the pending request got %q", got)
+		t.Errorf("response to the pending request: %q", got)
 	}
 	busy.Close()
-	kept.Close()
+	idle.Close()
 	late.Close()
 	select {
 	case <-done:
 	case <-time.After(epolltest.Patience):
-		t.Fatal("the shutdown does not end")
+		t.Fatal("the shutdown did not end")
 	}
 	if c, err := net.Dial("tcp", s.addr); err == nil {
 		c.Close()
@@ -97,7 +99,7 @@
 	}
 }
 
-// Connections in the listener's queue are served although the schedule's StopAccept has passed.
+// Connections in the listener's queue have to be served even if StopAccept of the schedule has passed before they are accepted.
 func TestShutdownEmptiesListenerQueue(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	release := make(chan struct{})
@@ -107,7 +109,7 @@
 	<-blocked
 	c := s.connect()
 	c.send(getRequest("1"))
-	time.Sleep(time.Duration(schedule.StopAccept-schedule.SignalledAt) * time.Millisecond) // StopAccept passes meanwhile
+	time.Sleep(time.Duration(schedule.StopAccept-schedule.SignalledAt) * time.Millisecond) // until StopAccept has passed
 	close(release)
 	s.serve(s.nextExchange(), "one")
 	if _, got := c.response(); got != "one" {
@@ -115,7 +117,7 @@
 	}
 }
 
-// A connection that was accepted just before the listener closed is not closed as idle: its first request is on its way.
+// A connection that was accepted just before the listener closed must not be closed as idle, since its first request is in transit.
 func TestShutdownWaitsForFirstRequests(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	s.shutdown(longestDeadline, func() {})
@@ -131,15 +133,16 @@
 	}
 }
 
-// During a shutdown a request that arrives slowly is served as long as it can be answered in time, and rejected after that.
+// During a shutdown a request that arrives slowly has to be served if it is complete before RejectFrom of the schedule. Requests that
+// are incomplete at RejectFrom have to be rejected.
 func TestShutdownServesSlowRequests(t *testing.T) {
 	s := newTestServer(t, 64, 4)
-	slow, never, upload := s.connect(), s.connect(), s.connect()
+	slow, partialHead, partialBody := s.connect(), s.connect(), s.connect()
 	text := getRequest("1")
 	slow.send(text[:30])
-	never.send(text[:30])
-	upload.send("POST /pay HTTP/1.1\r\nX-Txn: 9\r\nX-Lane: pay\r\nX-Remaining: 1\r\nContent-Length: 999999\r\n\r\nabc")
-	u := s.nextExchange()
+	partialHead.send(text[:30])
+	partialBody.send("POST /pay HTTP/1.1\r\nX-Txn: 9\r\nX-Lane: pay\r\nX-Remaining: 1\r\nContent-Length: 999999\r\n\r\nabc")
+	streamed := s.nextExchange()
 	s.WaitFor("client_connections_accepted", 3)
 	var schedule shutdown.Schedule
 	s.Do(func() {
@@ -150,24 +153,24 @@
 	slow.send(text[30:])
 	x := s.nextExchange()
 	if s.respondBy != schedule.RespondBy {
-		t.Errorf("responses by %v, want %v", s.respondBy, schedule.RespondBy)
+		t.Errorf("shutdown deadline %v, want %v", s.respondBy, schedule.RespondBy)
 	}
 	s.serve(x, "one")
 	if _, got := slow.response(); got != "one" {
 		t.Errorf("response %q", got)
 	}
 	s.runTimers(schedule.RejectFrom)
-	for name, c := range map[string]*client{"partial head": never, "partial body": upload} {
+	for name, c := range map[string]*client{"partial head": partialHead, "partial body": partialBody} {
 		if resp, _ := c.response(); resp.StatusCode != 503 || !resp.Close {
-			t.Errorf("%s: status %d", name, resp.StatusCode)
+			t.Errorf("%s: status %d, closes %v, want 503 and a close", name, resp.StatusCode, resp.Close)
 		}
 	}
-	if got := <-s.disconnected; got != u {
-		t.Error("another exchange than the upload's was disconnected")
+	if got := <-s.disconnected; got != streamed {
+		t.Error("the disconnect of a different exchange than that of the streamed request was reported")
 	}
 }
 
-// Settings that are applied during a shutdown may shorten it, and never lengthen it.
+// Settings that are applied during a shutdown may shorten the shutdown but must not lengthen it.
 func TestSettingsDuringShutdown(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	first := s.shutdown(longestDeadline, func() {})
@@ -182,7 +185,7 @@
 			next.LongestDeadline = tt.longest
 			s.server.ApplySettings(&next)
 			if s.respondBy != tt.want || s.server.drain.schedule.RespondBy != tt.want {
-				t.Errorf("longest deadline %v: responses by %v, want %v", tt.longest, s.respondBy, tt.want)
+				t.Errorf("longest deadline %v: shutdown deadline %v, want %v", tt.longest, s.respondBy, tt.want)
 			}
 		})
 	}
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -8,30 +8,30 @@
 	"salttrack/internal/loop"
 )
 
-// responseStream is the state of a connection on which a response is passed on while the upstream still sends it. The head is
-// written by the connection's responseWriter.
+// responseStream is the state of a connection on which a streamed response is written while its body is still being received from the
+// upstream. The connection's responseWriter does the writing and holds the unsent part of the head.
 type responseStream struct {
 	conn         *conn
 	stream       *bodystream.Stream // nil in all other states
 	encoder      *http1.BodyEncoder
-	lastProgress balance.Millis // when the client last read a part of it
+	lastProgress balance.Millis // time at which the kernel last accepted bytes of the response
 }
 
-// active reports whether a response is being passed on.
+// active reports whether a streamed response is being written.
 func (s *responseStream) active() bool { return s.stream != nil }
 
-// start begins a streamed response to a request. A client of HTTP/1.0 knows no chunks: without a length its response ends with
-// the connection.
+// start starts to write a streamed response to a request. HTTP/1.0 has no chunked transfer coding, so a response of unknown length to
+// an HTTP/1.0 request ends with the connection.
 func (s *responseStream) start(stream *bodystream.Stream, r *http1.Request) {
 	c := s.conn
 	c.checkMayRespond()
-	invariant.Check(!c.upload.active(), "a streamed response follows a complete request")
+	invariant.Check(!c.requestStream.active(), "a streamed response starts after the request is complete")
 	unknownLength := stream.Length < 0
 	chunked := unknownLength && !r.HTTP10
 	c.writer.closeAfter = c.writer.closeAfter || c.shouldClose() || unknownLength && r.HTTP10
 	c.server.counters.responses[http1.StatusOK].Inc()
 	head := http1.StreamedResponseHead{ContentLength: stream.Length, Chunked: chunked, Close: c.writer.closeAfter}
-	c.writer.unsent = http1.AppendStreamedResponseHead(c.reader.popUnsentContinue(), head)
+	c.writer.unsent = http1.AppendStreamedResponseHead(c.reader.takeUnsentContinue(), head)
 	c.state = s
 	s.stream = stream
 	s.encoder = http1.NewBodyEncoder(stream, chunked)
@@ -49,18 +49,19 @@
 	s.conn.writer.write()
 }
 
-// checkProgress closes a connection whose client does not read a response that is there.
+// checkProgress closes a connection whose client has read nothing for responseWriteTimeout although unsent bytes are available.
 func (s *responseStream) checkProgress() {
 	c := s.conn
-	rest := s.lastProgress + responseWriteTimeout - c.server.Loop.Now()
-	if rest > 0 || len(c.writer.next()) == 0 {
-		c.startTimer(max(rest, stallCheckInterval), s.checkProgress)
+	remaining := s.lastProgress + responseWriteTimeout - c.server.Loop.Now()
+	if remaining > 0 || len(c.writer.next()) == 0 {
+		c.startTimer(max(remaining, stallCheckInterval), s.checkProgress)
 		return
 	}
 	c.writer.timedOut()
 }
 
-// finish handles that all received bytes of the stream are written, and reports whether the response is complete.
+// finish is called when all bytes that the stream holds have been written. It reports whether the response is complete. If the stream
+// has ended before the end of the body, it closes the connection.
 func (s *responseStream) finish() (complete bool) {
 	c := s.conn
 	switch {
@@ -68,7 +69,7 @@
 		s.stream = nil
 		s.encoder = nil
 		return true
-	case s.stream.State() == bodystream.Incomplete: // the close shows the client that the response is truncated
+	case s.stream.State() == bodystream.Incomplete: // by the close the client detects that the response is truncated
 		c.fail(reasonResponseTruncated)
 	default:
 		c.server.Loop.Watch(c.fd, loop.Hup)
@@ -76,7 +77,7 @@
 	return false
 }
 
-// abandon stops passing the response on, if there is one.
+// abandon ends the stream of the response, if there is one.
 func (s *responseStream) abandon() {
 	if stream := s.stream; stream != nil {
 		s.stream = nil
--- a/internal/downstream/upload.go
+++ b/internal/downstream/upload.go
@@ -10,18 +10,18 @@
 	"salttrack/internal/loop"
 )
 
-// upload is the state of a connection that receives a long body. Its request is dispatched with the head, and may be answered
-// before the body is complete.
-type upload struct {
+// requestStream is the state of a connection that receives a streamed request body. The request is dispatched before its body is
+// complete, and its response may also be sent before that.
+type requestStream struct {
 	conn   *conn
-	stream *bodystream.Stream // passes the body on; nil in all other states
+	stream *bodystream.Stream // passes the body to the upstream connection; nil in all other states
 }
 
-// active reports whether a body is being received.
-func (u *upload) active() bool { return u.stream != nil }
+// active reports whether a streamed request body is being received.
+func (s *requestStream) active() bool { return s.stream != nil }
 
-// startUpload dispatches a request with a long body. Following is what was received and is not decoded.
-func (c *conn) startUpload(following []byte) {
+// startRequestStream dispatches a request with a streamed body. The bytes in following have been received but not decoded yet.
+func (c *conn) startRequestStream(following []byte) {
 	c.stopReading()
 	decoder := c.reader.decoder
 	stream := bodystream.New(c.server.Buffers, decoder.ContentLength())
@@ -29,39 +29,39 @@
 	r := decoder.Request()
 	r.Stream = stream
 	stream.OnWritable(func() {
-		if c.upload.stream == stream {
+		if c.requestStream.stream == stream {
 			c.server.Loop.Watch(c.fd, loop.In|loop.Hup)
 		}
 	})
 	c.server.counters.requestsStreamed.Inc()
-	c.state = &c.upload
-	c.upload.stream = stream
+	c.state = &c.requestStream
+	c.requestStream.stream = stream
 	c.reader.body = bodyProgress{started: true}
 	c.startTimer(bodyProgressInterval, c.requestTimedOut)
 	complete := decoder.Complete()
 	c.dispatch(r)
 	switch {
-	case !c.upload.active(): // answered
+	case !c.requestStream.active(): // the response has already been sent
 	case complete:
-		c.upload.complete(following)
+		c.requestStream.complete(following)
 	default:
 		c.reader.sendContinue()
 		stream.Flush()
 	}
 }
 
-func (u *upload) ready(events uint32) {
+func (s *requestStream) ready(events uint32) {
 	if events&loop.Error != 0 {
-		u.conn.clientDisconnected()
+		s.conn.clientDisconnected()
 		return
 	}
-	u.read()
+	s.read()
 }
 
-// read passes on the received bytes of the body, as far as there is buffer space.
-func (u *upload) read() {
-	c := u.conn
-	stream := u.stream
+// read reads bytes of the body and writes them to the stream, as far as buffer space is available.
+func (s *requestStream) read() {
+	c := s.conn
+	stream := s.stream
 	for range maxReadsPerTurn {
 		space := stream.Available()
 		if space == 0 {
@@ -78,39 +78,40 @@
 			c.clientDisconnected()
 			return
 		}
-		if !u.decode(c.server.readBuffer[:n]) {
+		if !s.decode(c.server.readBuffer[:n]) {
 			return
 		}
 		stream.Flush()
-		if u.stream != stream { // answered meanwhile
+		if s.stream != stream { // during Flush the response was sent or the connection was closed
 			return
 		}
 	}
 }
 
-// decode decodes bytes of the body, and reports whether more of it is to be read.
-func (u *upload) decode(p []byte) bool {
-	r := &u.conn.reader
-	r.receivedAt = u.conn.server.Loop.EarliestArrivalAt(u.conn.fd)
+// decode decodes bytes of the body. It reports whether more bytes have to be read: not if the body is complete or was rejected.
+func (s *requestStream) decode(p []byte) bool {
+	r := &s.conn.reader
+	r.receivedAt = s.conn.server.Loop.EarliestArrivalAt(s.conn.fd)
 	r.body.bytesSinceCheck += len(p)
 	n, err := r.decoder.Feed(p)
 	if err != nil {
-		u.reject(http1.StatusOf(err))
+		s.reject(http1.StatusOf(err))
 		return false
 	}
 	if r.decoder.Complete() {
-		u.complete(bytes.Clone(p[n:]))
+		s.complete(bytes.Clone(p[n:]))
 		return false
 	}
 	return true
 }
 
-// complete handles the last byte of the body: the request's time starts now. Following is what was received behind it.
-func (u *upload) complete(following []byte) {
-	c := u.conn
-	stream := u.stream
+// complete ends the stream after the last byte of the body and sets the deadline that the client has given. The bytes in following
+// were received after the body.
+func (s *requestStream) complete(following []byte) {
+	c := s.conn
+	stream := s.stream
 	x := c.pending.exchange
-	u.stream = nil
+	s.stream = nil
 	c.state = &c.pending
 	c.reader.unread = following
 	c.stopTimer()
@@ -122,37 +123,38 @@
 	}
 }
 
-// checkPaused records whether reading still waits for buffer space.
-func (u *upload) checkPaused() {
-	u.conn.reader.body.paused = u.stream.Available() == 0
-	u.stream.Flush()
+// checkPaused records for the next bodyProgressInterval whether reading waits for buffer space.
+func (s *requestStream) checkPaused() {
+	s.conn.reader.body.paused = s.stream.Available() == 0
+	s.stream.Flush()
 }
 
-// reject ends a request before its body is complete. What an upstream has of it is aborted.
-func (u *upload) reject(status int) {
-	c := u.conn
+// reject rejects a request whose body is incomplete and closes the connection after the response. An attempt that is in progress is
+// aborted.
+func (s *requestStream) reject(status int) {
+	c := s.conn
 	x := c.pending.exchange
 	c.pending.detachExchange(x)
-	u.abort()
+	s.abort()
 	c.server.handler.ClientDisconnected(x)
 	c.rejectAndClose(status)
 }
 
-// abort ends the stream of an incomplete body, if there is one.
-func (u *upload) abort() {
-	if stream := u.stream; stream != nil {
-		u.stream = nil
+// abort ends the stream, if there is one, before the body is complete.
+func (s *requestStream) abort() {
+	if stream := s.stream; stream != nil {
+		s.stream = nil
 		stream.Abort()
 	}
 }
 
-// abandon stops receiving the body, since its request has been answered, and reports whether there was one.
-func (u *upload) abandon() bool {
-	stream := u.stream
+// abandon stops receiving the body because the response is about to be sent. It reports whether a body was being received.
+func (s *requestStream) abandon() bool {
+	stream := s.stream
 	if stream == nil {
 		return false
 	}
-	u.stream = nil
+	s.stream = nil
 	stream.Abandon()
 	return true
 }
--- a/internal/downstream/validate.go
+++ b/internal/downstream/validate.go
@@ -8,10 +8,10 @@
 	"salttrack/internal/http1"
 )
 
-// maxRemainingSeconds is the longest time that a client may state in a request.
+// maxRemainingSeconds is the longest remaining time in seconds that a request may have.
 const maxRemainingSeconds = 3600
 
-// What makes a well-formed request one that is not served.
+// Errors of well-formed requests that are not served.
 var (
 	errMethodNotSupported = &http1.Error{Status: http1.StatusMethodNotAllowed, Reason: "method not supported"}
 	errMethodOfClass      = &http1.Error{Status: http1.StatusMethodNotAllowed, Reason: "method does not fit the class"}
@@ -23,8 +23,8 @@
 	errDuplicateRequestID = &http1.Error{Status: http1.StatusConflict, Reason: "a request with this id is open"}
 )
 
-// validate returns the class of a request, or what is wrong with it. What passes is what an upstream accepts: others would be
-// rejected there, at the cost of an attempt and perhaps of the connection.
+// validate checks whether a request is valid, and returns its class number or an error. An upstream would reject an invalid request
+// as well, but at the cost of an attempt and possibly of the connection to it.
 func (s *Server) validate(r *http1.Request, path string) (uint8, *http1.Error) {
 	if r.Method != http1.MethodGet && r.Method != http1.MethodPost {
 		return 0, errMethodNotSupported
@@ -42,7 +42,8 @@
 	return class, s.validateIdempotency(r, s.settings.Idempotency[class])
 }
 
-// validateIdempotency checks a request against the idempotency of its class.
+// validateIdempotency checks whether the method, body, idempotency key and id of a request are allowed for a class with the given
+// idempotency.
 func (s *Server) validateIdempotency(r *http1.Request, idempotency balance.Idempotency) *http1.Error {
 	idempotent := idempotency == balance.Idempotent
 	_, open := s.openRequestIDs[r.ID]
@@ -51,9 +52,9 @@
 		return errMethodOfClass
 	case idempotent && (len(r.Body) > 0 || r.Stream != nil):
 		return errUnexpectedBody
-	case (idempotency == balance.WithIdempotencyKey) != (r.IdempotencyKey != ""): // upstreams need it to recognise retries
+	case (idempotency == balance.WithIdempotencyKey) != (r.IdempotencyKey != ""): // upstreams need the key to recognise retries
 		return errIdempotencyKey
-	case open: // of another client: attempts of the two could not be told apart
+	case open: // an upstream could not tell the attempts of the two requests apart
 		return errDuplicateRequestID
 	}
 	return nil
