--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -7,7 +7,7 @@
 	"salttrack/internal/trace"
 )
 
-// Ready accepts connections when the listening socket is ready. It is a method of loop.Handler.
+// Ready accepts connections when the listening socket is ready. It implements loop.Handler.
 func (s *Server) Ready(uint32) { s.accept(maxAcceptsPerTurn) }
 
 // accept accepts up to limit connections. It reports whether the listener's queue is empty or the listener is closed. Clients
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -28,7 +28,7 @@
 type conn struct {
 	server    *Server
 	fd        int
-	overflow  bool // the connection was accepted beyond the descriptor quota
+	overflow  bool // the connection is an overflow connection, which does not count against the descriptor quota
 	responded bool // at least one response has been sent completely
 	state     state
 	timer     *timer.Timer // timeout of the current state; nil if it has none
@@ -61,7 +61,7 @@
 	return c
 }
 
-// Ready handles readiness events of the connection's descriptor.
+// Ready handles readiness events of the connection's descriptor. It implements loop.Handler.
 func (c *conn) Ready(events uint32) { c.state.ready(events) }
 
 // Respond sends the final response of the connection's exchange.
--- a/internal/downstream/counters.go
+++ b/internal/downstream/counters.go
@@ -35,7 +35,7 @@
 	overflowRejected          *counter.Counter // requests that were rejected on overflow connections
 	shutdownRejected          *counter.Counter // complete requests that were rejected because of a shutdown
 	acceptPauses              *counter.Counter // calls of pauseAccepting
-	connectionsBroken         *counter.Counter // failed connections, slow readers and truncated streamed responses
+	connectionsBroken         *counter.Counter // connections that failed, whose client did not read in time, or whose response was truncated
 	requestsTimedOut          *counter.Counter
 	connectionsIdleClosed     *counter.Counter         // connections that were closed after a timeout without a request
 	responses                 map[int]*counter.Counter // responses by status code
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -32,8 +32,8 @@
 	c.send(getRequest("1")[:30])
 	c.Close()
 	s.WaitFor("client_connections_open", 0)
-	if len(s.accepted) > 0 {
-		t.Error("a partial request was accepted")
+	if len(s.exchanges) > 0 {
+		t.Error("an exchange was started for a partial request")
 	}
 }
 
@@ -55,7 +55,7 @@
 			t.Error("the exchange of a disconnected client is sendable")
 		}
 	})
-	if disconnected := <-s.disconnected; disconnected != x || len(s.accepted) != 0 || s.Counted("client_connections_open") != 0 {
-		t.Errorf("disconnect of %v reported, %d more exchanges, %d open connections", disconnected, len(s.accepted), s.Counted("client_connections_open"))
+	if disconnected := <-s.disconnected; disconnected != x || len(s.exchanges) != 0 || s.Counted("client_connections_open") != 0 {
+		t.Errorf("disconnect of %v reported, %d more exchanges, %d open connections", disconnected, len(s.exchanges), s.Counted("client_connections_open"))
 	}
 }
--- a/internal/downstream/dispatch.go
+++ b/internal/downstream/dispatch.go
@@ -101,8 +101,8 @@
 // during a shutdown.
 func (c *conn) reject(status int) { c.rejectWith(http1.ResponseHead{Status: status}) }
 
-// rejectAndClose rejects a request like reject and then closes the connection. It is used when the bytes after the rejected part
-// can't be decoded.
+// rejectAndClose rejects a request like reject and then closes the connection. It is used when the end of the request is unknown, so
+// that further requests on the connection can't be decoded.
 func (c *conn) rejectAndClose(status int) {
 	c.rejectWith(http1.ResponseHead{Status: status, Close: true})
 }
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -36,13 +36,13 @@
 	*epolltest.Rig
 	server       *Server
 	addr         string
-	accepted     chan *exchange.Exchange // arguments of HandleRequest
+	exchanges    chan *exchange.Exchange // arguments of HandleRequest
 	disconnected chan *exchange.Exchange // arguments of ClientDisconnected
 	completed    chan *exchange.Exchange // arguments of RequestComplete
 	respondBy    balance.Millis          // argument of the last call of SetShutdownDeadline
 }
 
-func (s *testServer) HandleRequest(x *exchange.Exchange)      { s.accepted <- x }
+func (s *testServer) HandleRequest(x *exchange.Exchange)      { s.exchanges <- x }
 func (s *testServer) RequestComplete(x *exchange.Exchange)    { s.completed <- x }
 func (s *testServer) ClientDisconnected(x *exchange.Exchange) { s.disconnected <- x }
 func (s *testServer) SetShutdownDeadline(at balance.Millis)   { s.respondBy = at }
@@ -54,7 +54,7 @@
 	const maxExchanges = 1000 // more than any test leaves in a channel
 	s := &testServer{
 		Rig:          epolltest.Start(t, rules...),
-		accepted:     make(chan *exchange.Exchange, maxExchanges),
+		exchanges:    make(chan *exchange.Exchange, maxExchanges),
 		disconnected: make(chan *exchange.Exchange, maxExchanges),
 		completed:    make(chan *exchange.Exchange, maxExchanges),
 	}
@@ -113,7 +113,7 @@
 func (s *testServer) nextExchange() *exchange.Exchange {
 	s.T.Helper()
 	select {
-	case x := <-s.accepted:
+	case x := <-s.exchanges:
 		return x
 	case <-time.After(epolltest.Patience):
 		s.T.Fatal("no exchange was started")
--- a/internal/downstream/reader_test.go
+++ b/internal/downstream/reader_test.go
@@ -68,13 +68,13 @@
 }
 
 // Pipelined requests on one connection have to be handled in sequence.
-func TestPipelined(t *testing.T) {
+func TestPipelinedRequests(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
 	c.send(getRequest("1") + getRequest("2") + "GET /-/ready HTTP/1.1\r\n\r\n" + getRequest("3")[:20])
 	x := s.nextExchange()
 	select {
-	case <-s.accepted:
+	case <-s.exchanges:
 		t.Fatal("the second request was dispatched before the response to the first one")
 	default:
 	}
--- a/internal/downstream/response_test.go
+++ b/internal/downstream/response_test.go
@@ -9,7 +9,7 @@
 
 // The status and Retry-After of a response have to match the disposition of its exchange. Only the first response of an exchange may
 // be sent.
-func TestResponses(t *testing.T) {
+func TestResponseByDisposition(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
 	for _, tt := range []struct {
@@ -57,7 +57,7 @@
 	const many = 300 // number of responses; together they exceed the socket buffers of the kernel
 	slow.send(strings.Repeat(getRequest("1"), many))
 	go func() {
-		for x := range s.accepted {
+		for x := range s.exchanges {
 			s.serve(x, body)
 		}
 	}()
--- a/internal/downstream/validate_test.go
+++ b/internal/downstream/validate_test.go
@@ -60,7 +60,7 @@
 			t.Errorf("%s: requests_malformed is %d, want %d", tt.name, n, i+1)
 		}
 	}
-	if len(s.accepted) > 0 {
+	if len(s.exchanges) > 0 {
 		t.Error("an invalid request was passed to the request handler")
 	}
 }
