--- a/internal/bodystream/example_test.go
+++ b/internal/bodystream/example_test.go
@@ -6,8 +6,8 @@
 	"salttrack/internal/bodystream"
 )
 
-// The writer writes each part of the body as it receives it, and the reader consumes it. In this example the writer runs in a
-// loop; in salttrack both sides run as callbacks of the stream.
+// The writer writes each part of the body as it receives it, and the reader consumes it.
+// In this example the writer runs in a loop; in salttrack both sides run as callbacks of the stream.
 func Example() {
 	pool := bodystream.NewBufferPool(1)
 	body := bodystream.New(pool, 11)
--- a/internal/bodystream/pool.go
+++ b/internal/bodystream/pool.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// notifyWaiting offers the available buffers to the waiting streams, the longest waiting first. The callback of a stream may call
-// methods of the pool.
+// notifyWaiting offers the available buffers to the waiting streams, the longest waiting first.
+// The callback of a stream may call methods of the pool.
 func (p *BufferPool) notifyWaiting() {
 	for n := p.limit - p.inUse; n > 0 && len(p.waiting) > 0; n-- {
 		s := p.waiting[0]
--- a/internal/bodystream/pool_test.go
+++ b/internal/bodystream/pool_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A stream that waits for a buffer must be notified when the stream that holds the buffer returns it, whether that stream was
-// read, aborted or abandoned.
+// A stream that waits for a buffer must be notified when the stream that holds the buffer returns it,
+// whether that stream was read, aborted or abandoned.
 func TestWaitForBuffer(t *testing.T) {
 	for name, release := range map[string]func(*Stream){
 		"consumed":  func(s *Stream) { s.Consume(1) },
@@ -27,8 +27,8 @@
 	}
 }
 
-// checkOfferedBufferPassedOn checks that the pool's only buffer is offered to the next waiting stream when the stream to which it
-// was offered first is abandoned before it takes the buffer.
+// checkOfferedBufferPassedOn checks that the pool's only buffer
+// is offered to the next waiting stream when the stream to which it was offered first is abandoned before it takes the buffer.
 func checkOfferedBufferPassedOn(t *testing.T, name string, p *BufferPool) {
 	t.Helper()
 	holder := New(p, -1)
--- a/internal/bodystream/stream.go
+++ b/internal/bodystream/stream.go
@@ -38,12 +38,12 @@
 // Prepend sets the part of the body that was received before the stream was created. The stream takes ownership of p.
 func (s *Stream) Prepend(p []byte) { s.prepended = p }
 
-// OnWritable sets the function that is called when Available may return more than before, or when the reader has abandoned the
-// stream.
+// OnWritable sets the function that is called when Available may
+// return more than before, or when the reader has abandoned the stream.
 func (s *Stream) OnWritable(notify func()) { s.onWritable = notify }
 
-// OnReadable sets the function that is called when there are bytes to read or the writer has ended the stream. A nil function
-// removes the callback.
+// OnReadable sets the function that is called when there are bytes to read or the writer has ended the stream.
+// A nil function removes the callback.
 func (s *Stream) OnReadable(notify func()) { s.onReadable = notify }
 
 func (s *Stream) notifyReader() {
@@ -61,8 +61,8 @@
 // State returns the state of the stream.
 func (s *Stream) State() State { return s.state }
 
-// Available returns how many bytes may be written now. If it returns 0 while the stream is in the state Streaming, the OnWritable
-// function is called when there may be space again.
+// Available returns how many bytes may be written now.
+// If it returns 0 while the stream is in the state Streaming, the OnWritable function is called when there may be space again.
 func (s *Stream) Available() int {
 	if s.state != Streaming || len(s.prepended) > 0 {
 		return 0
@@ -94,8 +94,8 @@
 	}
 }
 
-// Write appends p, which must not be longer than Available has returned. The reader is notified by Flush, not by Write. Write
-// does nothing after the stream has ended.
+// Write appends p, which must not be longer than Available has returned.
+// The reader is notified by Flush, not by Write. Write does nothing after the stream has ended.
 func (s *Stream) Write(p []byte) {
 	if s.state != Streaming {
 		return
--- a/internal/bodystream/stream_test.go
+++ b/internal/bodystream/stream_test.go
@@ -55,8 +55,8 @@
 	s.Consume(len(p))
 }
 
-// For all sizes of writes and reads, and for one or more streams on one pool, each stream has to return the bytes that were
-// written to it in order, the number of buffers in use must not exceed the pool's limit, and all buffers have to be returned.
+// For all sizes of writes and reads, and for one or more streams on one pool, each stream has to return the bytes that
+// were written to it in order, the number of buffers in use must not exceed the pool's limit, and all buffers have to be returned.
 func TestStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		buffers := rapid.IntRange(1, 3).Draw(t, "buffers")
--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -10,9 +10,9 @@
 // Ready accepts connections when the listening socket is ready. It implements loop.Handler.
 func (s *Server) Ready(uint32) { s.accept(maxAcceptsPerTurn) }
 
-// accept accepts up to limit connections. It reports whether the listener's queue is empty or the listener is closed. Clients
-// regard connections in the queue as established, so these are accepted even when the descriptor quota is exhausted. They then become
-// overflow connections, whose requests are rejected unless a descriptor has become available.
+// accept accepts up to limit connections. It reports whether the listener's queue is empty or the listener is closed.
+// Clients regard connections in the queue as established, so these are accepted even when the descriptor quota is exhausted.
+// They then become overflow connections, whose requests are rejected unless a descriptor has become available.
 func (s *Server) accept(limit int) (emptied bool) {
 	for range limit {
 		if s.listener < 0 {
@@ -74,8 +74,8 @@
 	})
 }
 
-// promoteFromOverflow turns an overflow connection into a regular one if the descriptor quota allows it, and reports whether it has
-// done so.
+// promoteFromOverflow turns an overflow connection into a regular
+// one if the descriptor quota allows it, and reports whether it has done so.
 func (c *conn) promoteFromOverflow() bool {
 	if !c.server.quota.Acquire() {
 		return false
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Sendable has to detect a disconnect whose event the loop has not handled yet, so that no attempt is sent for that client. It must
-// do so even if unread bytes precede the close.
+// Sendable has to detect a disconnect whose event the loop has not handled yet, so that no attempt is sent for that client.
+// It must do so even if unread bytes precede the close.
 func TestSendableDetectsUnhandledDisconnect(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
--- a/internal/downstream/dispatch.go
+++ b/internal/downstream/dispatch.go
@@ -14,8 +14,8 @@
 	readinessPath      = "/-/ready"
 )
 
-// dispatch handles a request whose head is complete, and whose body is complete unless it is streamed. It either sends a response or
-// starts an exchange.
+// dispatch handles a request whose head is complete, and whose body is complete unless it is streamed.
+// It either sends a response or starts an exchange.
 func (c *conn) dispatch(r http1.Request) {
 	s := c.server
 	c.reader.requestCount++
@@ -66,8 +66,8 @@
 	s.handler.HandleRequest(x)
 }
 
-// startDeadline sets the deadlines of a request. They count from the arrival of its last byte, so that the time in which the client
-// sends the request does not reduce the remaining time.
+// startDeadline sets the deadlines of a request. They count from the arrival of its last byte,
+// so that the time in which the client sends the request does not reduce the remaining time.
 func (c *conn) startDeadline(x *exchange.Exchange, r *http1.Request) {
 	remaining := r.RemainingSeconds * 1000
 	x.ClientDeadline = c.reader.receivedAt + remaining
@@ -97,12 +97,12 @@
 	}
 }
 
-// reject sends an error response to a request that has no exchange, since it is malformed, not allowed, too slow, or incomplete
-// during a shutdown.
+// reject sends an error response to a request that has no exchange,
+// since it is malformed, not allowed, too slow, or incomplete during a shutdown.
 func (c *conn) reject(status int) { c.rejectWith(http1.ResponseHead{Status: status}) }
 
-// rejectAndClose rejects a request like reject and then closes the connection. It is used when the end of the request is unknown, so
-// that further requests on the connection can't be decoded.
+// rejectAndClose rejects a request like reject and then closes the connection.
+// It is used when the end of the request is unknown, so that further requests on the connection can't be decoded.
 func (c *conn) rejectAndClose(status int) {
 	c.rejectWith(http1.ResponseHead{Status: status, Close: true})
 }
--- a/internal/downstream/faults_test.go
+++ b/internal/downstream/faults_test.go
@@ -11,8 +11,8 @@
 	"salttrack/internal/simulation/faultinject"
 )
 
-// Transient faults of system calls, short reads and short writes must neither lose a request nor change a response. The test sends
-// the first request of a connection, a second one on the same connection, and one whose client waits for 100 Continue.
+// Transient faults of system calls, short reads and short writes must neither lose a request nor change a response. The
+// test sends the first request of a connection, a second one on the same connection, and one whose client waits for 100 Continue.
 func TestTransientSystemCallFaults(t *testing.T) {
 	rules := faultinject.TransientRules()
 	maps.Copy(rules, map[string]faultinject.Rule{
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -15,8 +15,8 @@
 	readyResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 )
 
-// expectBytes checks that the next response has exactly the expected bytes. If it contains Connection: close, the server has to close
-// the connection after it, otherwise to serve another request.
+// expectBytes checks that the next response has exactly the expected bytes.
+// If it contains Connection: close, the server has to close the connection after it, otherwise to serve another request.
 func (c *client) expectBytes(name, want string) {
 	c.t.Helper()
 	closes := strings.Contains(want, "Connection: close\r\n")
@@ -71,8 +71,8 @@
 	}
 }
 
-// Streamed responses must consist of exactly the expected bytes: with Content-Length, with chunked transfer coding, and to an HTTP/1.0
-// client, for which a body of unknown length ends with the connection.
+// Streamed responses must consist of exactly the expected bytes: with Content-Length,
+// with chunked transfer coding, and to an HTTP/1.0 client, for which a body of unknown length ends with the connection.
 func TestStreamedResponseBytes(t *testing.T) {
 	first, rest := strings.Repeat("a", 70000), strings.Repeat("b", 1000)
 	http10 := strings.Replace(getRequest("1"), "HTTP/1.1", "HTTP/1.0", 1)
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -30,8 +30,8 @@
 	classKeep              // class "keep", with an idempotency key
 )
 
-// testServer is a Server that runs on its own event loop. It is also the server's request handler: it passes the calls of the server
-// to the test, which responds in place of the balancer.
+// testServer is a Server that runs on its own event loop.
+// It is also the server's request handler: it passes the calls of the server to the test, which responds in place of the balancer.
 type testServer struct {
 	*epolltest.Rig
 	server       *Server
@@ -47,8 +47,8 @@
 func (s *testServer) ClientDisconnected(x *exchange.Exchange) { s.disconnected <- x }
 func (s *testServer) SetShutdownDeadline(at balance.Millis)   { s.respondBy = at }
 
-// newTestServer starts a server with the given limits on descriptors and on overflow connections. If rules are given, they inject
-// faults into the system calls.
+// newTestServer starts a server with the given limits on descriptors and on overflow connections.
+// If rules are given, they inject faults into the system calls.
 func newTestServer(t *testing.T, descriptors, overflowLimit int, rules ...faultinject.Rule) *testServer {
 	t.Helper()
 	const maxExchanges = 1000 // more than any test leaves in a channel
@@ -153,8 +153,8 @@
 	}
 }
 
-// busyWait waits until a condition holds or epolltest.Patience has passed. It is called on the event loop, which handles no events
-// meanwhile.
+// busyWait waits until a condition holds or epolltest.Patience has passed.
+// It is called on the event loop, which handles no events meanwhile.
 func busyWait(condition func() bool) {
 	for end := time.Now().Add(epolltest.Patience); !condition() && time.Now().Before(end); {
 		runtime.Gosched()
--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -2,14 +2,14 @@
 
 import "salttrack/balance"
 
-// shedIdle closes the least recently active connection that has been inactive for minInactivity or longer and may be closed. It
-// reports whether it has closed one.
+// shedIdle closes the least recently active connection that has been inactive for minInactivity or longer and may be closed.
+// It reports whether it has closed one.
 func (s *Server) shedIdle() bool { return s.shedLeastRecentlyActive(minInactivity) }
 
-// shedLeastRecentlyActive closes the least recently active connection that may be closed, and reports whether it has closed one. An
-// idle connection may be closed after minIdle: clients have to expect a close at any time, but soon after a response the next request
-// is likely to be in transit. On a new connection the first request is even more likely to be in transit, and after a partial request
-// the rest certainly is, so these connections may be closed only after a longer time.
+// shedLeastRecentlyActive closes the least recently active connection that may be closed, and reports whether it has closed one.
+// An idle connection may be closed after minIdle: clients have to expect a close at any time,
+// but soon after a response the next request is likely to be in transit. On a new connection the first request is even more likely
+// to be in transit, and after a partial request the rest certainly is, so these connections may be closed only after a longer time.
 func (s *Server) shedLeastRecentlyActive(minIdle balance.Millis) bool {
 	now := s.Loop.Now()
 	for e := s.readingConns.Front(); e != nil; e = e.Next() {
@@ -27,8 +27,8 @@
 	return false
 }
 
-// minInactivityBeforeShed returns how long a connection has to be inactive before it may be closed to free its descriptor. For an
-// idle connection it is minIdle.
+// minInactivityBeforeShed returns how long a connection has to be inactive before it may be closed to free its descriptor.
+// For an idle connection it is minIdle.
 func (r *requestReader) minInactivityBeforeShed(minIdle balance.Millis) balance.Millis {
 	switch {
 	case r.decoder.Started():
--- a/internal/downstream/limits.go
+++ b/internal/downstream/limits.go
@@ -7,15 +7,15 @@
 	// idleTimeout is how long a connection may be idle between two requests.
 	idleTimeout balance.Millis = 15000
 
-	// requestTimeout is how long a client may take to send the head of a request. It counts from the first byte of the head. For the
-	// first request of a connection it counts from the accept.
+	// requestTimeout is how long a client may take to send the head of a request.
+	// It counts from the first byte of the head. For the first request of a connection it counts from the accept.
 	requestTimeout balance.Millis = 2500
 
 	// bodyProgressInterval is the interval in which a client has to send minBodyBytesPerInterval of a request body, or the rest of it.
 	bodyProgressInterval balance.Millis = 2500
 
-	// responseWriteTimeout is how long a client may take to read a complete response. For a streamed response it is how long the
-	// client may read nothing while unsent bytes are available.
+	// responseWriteTimeout is how long a client may take to read a complete response.
+	// For a streamed response it is how long the client may read nothing while unsent bytes are available.
 	responseWriteTimeout balance.Millis = 15000
 
 	// stallCheckInterval is the minimum interval between two checks whether the client reads a streamed response.
@@ -33,8 +33,8 @@
 
 // Deadlines of requests.
 const (
-	// incompleteRequestDeadline is the deadline in milliseconds of a request with a streamed body until the last byte of the body has
-	// arrived. From then on the deadline that the client has given applies.
+	// incompleteRequestDeadline is the deadline in milliseconds of a request with
+	// a streamed body until the last byte of the body has arrived. From then on the deadline that the client has given applies.
 	incompleteRequestDeadline balance.Millis = 3600e3
 
 	// responseMarginDivisor limits the response margin to a tenth of the remaining time that the client has given.
--- a/internal/downstream/linger.go
+++ b/internal/downstream/linger.go
@@ -7,9 +7,9 @@
 	"salttrack/internal/loop"
 )
 
-// lingeringClose is the state of a connection after its last response. The sending side is closed, and input is read and discarded
-// until the client closes the connection or the timeout expires. Closing a socket with unread input would send a TCP reset, which can
-// make the client lose the response.
+// lingeringClose is the state of a connection after its last response.
+// The sending side is closed, and input is read and discarded until the client closes the connection or the timeout expires.
+// Closing a socket with unread input would send a TCP reset, which can make the client lose the response.
 type lingeringClose struct {
 	conn    *conn
 	started bool
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -28,8 +28,8 @@
 	return f.Sockets.Accept(fd)
 }
 
-// If accepting fails with a transient error when the listener is about to close, it has to be retried, so that the connections in the
-// listener's queue are served before the listener closes.
+// If accepting fails with a transient error when the listener is about to close,
+// it has to be retried, so that the connections in the listener's queue are served before the listener closes.
 func TestListenerCloseRetriesAccept(t *testing.T) {
 	for _, err := range []error{unix.ENFILE, unix.ENOBUFS, unix.ECONNABORTED, unix.EPERM} {
 		s := newTestServer(t, 64, 4)
@@ -48,8 +48,8 @@
 	}
 }
 
-// suspendedAccept simulates that the process is suspended right after Accept has found the listener's queue empty for the first time.
-// A client connects during the suspension.
+// suspendedAccept simulates that the process is suspended right
+// after Accept has found the listener's queue empty for the first time. A client connects during the suspension.
 type suspendedAccept struct {
 	loop.Sockets
 	addr      string
@@ -78,8 +78,8 @@
 	return c, err
 }
 
-// A client that connects between the last accept and the close of the listener has to fail to connect or to be served. The kernel
-// must not establish its connection and then reset it when the listener is closed, since its request would be lost.
+// A client that connects between the last accept and the close of the listener has to fail to connect or to be served.
+// The kernel must not establish its connection and then reset it when the listener is closed, since its request would be lost.
 func TestConnectBetweenLastAcceptAndClose(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	schedule := s.shutdown(longestDeadline, func() {})
--- a/internal/downstream/overflow_test.go
+++ b/internal/downstream/overflow_test.go
@@ -6,8 +6,8 @@
 	"salttrack/balance"
 )
 
-// When the descriptor quota is exhausted, only connections that have been inactive for minInactivity may be shed, responses have to
-// announce the end of their connections, and requests on overflow connections have to be rejected.
+// When the descriptor quota is exhausted, only connections that have been inactive for minInactivity may be shed,
+// responses have to announce the end of their connections, and requests on overflow connections have to be rejected.
 func TestDescriptorQuotaExhausted(t *testing.T) {
 	s := newTestServer(t, 8, 2) // the server's quota is 6 of these 8 descriptors
 	var all []*client
@@ -48,8 +48,8 @@
 	}
 }
 
-// The time for which a connection must have been inactive before it may be shed depends on its state, and for idle connections on
-// whether the limit on overflow connections is reached.
+// The time for which a connection must have been inactive before it may be shed depends on its state,
+// and for idle connections on whether the limit on overflow connections is reached.
 func TestMinInactivityBeforeShed(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
@@ -119,8 +119,8 @@
 	})
 }
 
-// A request that arrives slowly on an overflow connection has to get a response with status 503. The timeout must not close the
-// connection while the request is arriving.
+// A request that arrives slowly on an overflow connection has to get a response with status 503.
+// The timeout must not close the connection while the request is arriving.
 func TestSlowRequestOnOverflowConnection(t *testing.T) {
 	s := newTestServer(t, 4, 2) // the server's quota is 3 of these 4 descriptors
 	for range 3 {
--- a/internal/downstream/pending.go
+++ b/internal/downstream/pending.go
@@ -6,8 +6,8 @@
 	"salttrack/internal/loop"
 )
 
-// pendingResponse is the state of a connection whose request is complete and has no response yet. In this state nothing is read, so
-// the only events are the client's close and errors.
+// pendingResponse is the state of a connection whose request is complete and has no response yet.
+// In this state nothing is read, so the only events are the client's close and errors.
 type pendingResponse struct {
 	conn     *conn
 	exchange *exchange.Exchange // set in the states pendingResponse and requestStream; nil otherwise
--- a/internal/downstream/reader.go
+++ b/internal/downstream/reader.go
@@ -11,8 +11,8 @@
 	"salttrack/internal/loop"
 )
 
-// requestReader is the state of a connection that is idle or receives a request. A body that is too large to be buffered is received
-// in the state requestStream.
+// requestReader is the state of a connection that is idle or receives a request.
+// A body that is too large to be buffered is received in the state requestStream.
 type requestReader struct {
 	conn         *conn
 	decoder      *http1.RequestDecoder
@@ -62,8 +62,8 @@
 
 func (r *requestReader) ready(uint32) { r.read() }
 
-// read reads until a request is complete or no more input is available. It returns after the read that has completed a request, so
-// that a client that pipelines hundreds of requests does not delay the others.
+// read reads until a request is complete or no more input is available. It returns after the read that has completed a request,
+// so that a client that pipelines hundreds of requests does not delay the others.
 func (r *requestReader) read() {
 	c := r.conn
 	count := r.requestCount
@@ -83,9 +83,9 @@
 	}
 }
 
-// resume decodes the bytes that were received after the request whose response has just been sent. A response may be sent while the
-// request is still being decoded, which calls resume again. That call returns at once and the outer call continues, so that hundreds
-// of pipelined requests do not cause deep recursion.
+// resume decodes the bytes that were received after the request whose response has just been sent.
+// A response may be sent while the request is still being decoded, which calls resume again.
+// That call returns at once and the outer call continues, so that hundreds of pipelined requests do not cause deep recursion.
 func (r *requestReader) resume() {
 	if r.resuming {
 		return
@@ -115,8 +115,8 @@
 	}
 }
 
-// decode decodes bytes of a request. It returns the number of bytes consumed, and whether the request is complete and has to be
-// dispatched by the caller.
+// decode decodes bytes of a request.
+// It returns the number of bytes consumed, and whether the request is complete and has to be dispatched by the caller.
 func (r *requestReader) decode(p []byte) (n int, complete bool) {
 	c := r.conn
 	// The timeouts of the first request and of overflow connections count from the accept, so a first byte does not restart them.
@@ -162,8 +162,8 @@
 	r.conn.dispatch(r.decoder.Request())
 }
 
-// sendContinue writes 100 Continue if the client waits for it. A write error is ignored: a client that does not receive 100 Continue
-// sends the body after a delay.
+// sendContinue writes 100 Continue if the client waits for it.
+// A write error is ignored: a client that does not receive 100 Continue sends the body after a delay.
 func (r *requestReader) sendContinue() {
 	if !r.decoder.ExpectsContinue() || r.continueSent {
 		return
@@ -192,8 +192,8 @@
 	c.close(reasonNoDescriptor)
 }
 
-// idleTimedOut closes an idle connection. If the kernel has received bytes of a request that have not been read yet, it reads them
-// instead.
+// idleTimedOut closes an idle connection.
+// If the kernel has received bytes of a request that have not been read yet, it reads them instead.
 func (r *requestReader) idleTimedOut() {
 	c := r.conn
 	if !c.server.Loop.IdleOpen(c.fd) {
@@ -204,8 +204,8 @@
 	c.close(reasonIdleTimeout)
 }
 
-// requestTimedOut handles the timeout of a connection that is idle or receives a request. A body that makes sufficient progress, or
-// whose reading had to wait for buffer space, gets another interval. Any other incomplete request is rejected.
+// requestTimedOut handles the timeout of a connection that is idle or receives a request. A body that makes sufficient progress,
+// or whose reading had to wait for buffer space, gets another interval. Any other incomplete request is rejected.
 func (c *conn) requestTimedOut() {
 	r := &c.reader
 	if !r.decoder.Started() {
--- a/internal/downstream/reader_test.go
+++ b/internal/downstream/reader_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// The timeout of the first request on a connection has to count from the accept, and no byte of the head may extend it. The body has
-// an interval of its own.
+// The timeout of the first request on a connection has to count from the accept, and no byte of the head may extend it.
+// The request body has an interval of its own, bodyProgressInterval.
 func TestRequestTimeout(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -14,8 +14,8 @@
 	writing    bool   // a call of write is running
 }
 
-// respond starts to write a response with a complete body. If the request body has not been received completely, its rest is
-// discarded and the connection ends after the response.
+// respond starts to write a response with a complete body.
+// If the request body has not been received completely, its rest is discarded and the connection ends after the response.
 func (w *responseWriter) respond(head http1.ResponseHead, body []byte) {
 	c := w.conn
 	c.checkMayRespond()
@@ -37,8 +37,9 @@
 	invariant.Check(c.writer.unsent == nil && c.pending.exchange == nil && !c.linger.started, "a connection has one response at a time")
 }
 
-// shouldClose reports whether the connection should end after its response, to reduce the number of connections. Announcing the close
-// in a response is the only way to do so without losing a request. Requests that have already been received are served first.
+// shouldClose reports whether the connection should end after its response, to reduce the number of connections.
+// Announcing the close in a response is the only way to do so without losing a request.
+// Requests that have already been received are served first.
 func (c *conn) shouldClose() bool {
 	switch {
 	case c.overflow:
@@ -62,8 +63,8 @@
 // timedOut closes a connection whose client has not read its response in time.
 func (w *responseWriter) timedOut() { w.conn.fail(reasonResponseNotRead) }
 
-// write writes as much of the response as the kernel accepts. After the last byte the connection starts to read the next request, or
-// closes.
+// write writes as much of the response as the kernel accepts.
+// After the last byte the connection starts to read the next request, or closes.
 func (w *responseWriter) write() {
 	c := w.conn
 	if w.writing || c.closed() {
@@ -94,8 +95,8 @@
 	return w.conn.responseStream.encoder.Next()
 }
 
-// writeAvailable writes the available bytes of the response until the kernel accepts no more. It reports whether the whole response
-// has been written.
+// writeAvailable writes the available bytes of the response until the kernel accepts no more.
+// It reports whether the whole response has been written.
 func (w *responseWriter) writeAvailable() (complete bool) {
 	c := w.conn
 	for p := w.next(); len(p) > 0; p = w.next() {
--- a/internal/downstream/response_test.go
+++ b/internal/downstream/response_test.go
@@ -7,8 +7,8 @@
 	"salttrack/internal/exchange"
 )
 
-// The status and Retry-After of a response have to match the disposition of its exchange. Only the first response of an exchange may
-// be sent.
+// The status and Retry-After of a response have to match the disposition of its exchange.
+// Only the first response of an exchange may be sent.
 func TestResponseByDisposition(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
@@ -36,8 +36,8 @@
 	}
 }
 
-// A client that is still sending its request body must receive a response that was sent early. Closing the connection with unread
-// input would send a reset, by which the client would lose the response.
+// A client that is still sending its request body must receive a response that was sent early.
+// Closing the connection with unread input would send a reset, by which the client would lose the response.
 func TestResponseBeforeUnreadInput(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,9 +1,9 @@
-// Package downstream is the server that clients connect to. It accepts connections, receives requests, passes them as exchanges to a
-// RequestHandler, and sends the responses. All its code runs on one event loop.
+// Package downstream is the server that clients connect to. It accepts connections,
+// receives requests, passes them as exchanges to a RequestHandler, and sends the responses. All its code runs on one event loop.
 //
-// The number of regular connections is limited by a quota of the descriptors of the process. When the quota is exhausted, a limited
-// number of further connections is accepted as overflow connections. Requests on overflow connections are rejected with status 503,
-// unless a descriptor has become available when the request arrives.
+// The number of regular connections is limited by a quota of the descriptors of the process.
+// When the quota is exhausted, a limited number of further connections is accepted as overflow connections.
+// Requests on overflow connections are rejected with status 503, unless a descriptor has become available when the request arrives.
 package downstream
 
 import (
@@ -24,8 +24,8 @@
 type RequestHandler interface {
 	// HandleRequest handles a new request. The response may be sent before HandleRequest returns.
 	HandleRequest(*exchange.Exchange)
-	// ClientDisconnected reports that the client has disconnected before its response, or that the rest of a streamed request body
-	// was rejected.
+	// ClientDisconnected reports that the client has disconnected before its response,
+	// or that the rest of a streamed request body was rejected.
 	ClientDisconnected(*exchange.Exchange)
 	// RequestComplete reports that the last byte of a streamed request body has been received.
 	RequestComplete(*exchange.Exchange)
@@ -54,8 +54,8 @@
 	ResponseMargin  balance.Millis        // time between RespondBy and ClientDeadline of an exchange
 }
 
-// Server accepts client connections and serves their requests. It owns the listening socket, from the call of Listen or ListenOn,
-// and all accepted connections until Close.
+// Server accepts client connections and serves their requests.
+// It owns the listening socket, from the call of Listen or ListenOn, and all accepted connections until Close.
 type Server struct {
 	Options
 	handler        RequestHandler
@@ -98,8 +98,8 @@
 // SetRequestHandler sets the handler of all requests. It has to be called before Listen or ListenOn.
 func (s *Server) SetRequestHandler(h RequestHandler) { s.handler = h }
 
-// ApplySettings sets the settings for requests that are received from now on. During a shutdown a shorter LongestDeadline shortens
-// the shutdown schedule.
+// ApplySettings sets the settings for requests that are received from now on.
+// During a shutdown a shorter LongestDeadline shortens the shutdown schedule.
 func (s *Server) ApplySettings(to *Settings) {
 	s.settings = to
 	if s.drain.done != nil {
@@ -116,8 +116,8 @@
 	return s.ListenOn(fd)
 }
 
-// ListenOn accepts connections from a socket that is already listening. The server takes ownership of the descriptor, and closes it
-// if an error is returned.
+// ListenOn accepts connections from a socket that is already listening.
+// The server takes ownership of the descriptor, and closes it if an error is returned.
 func (s *Server) ListenOn(fd int) error {
 	if err := s.Loop.Add(fd, loop.In, s); err != nil {
 		s.Loop.Close(fd)
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -11,13 +11,14 @@
 // shuttingDown reports whether a shutdown has begun.
 func (s *Server) shuttingDown() bool { return s.drain.schedule.Started() }
 
-// rejectsNewRequests reports whether a request that becomes complete now has to be rejected, since the shutdown leaves too little time
-// for its response.
+// rejectsNewRequests reports whether a request that becomes complete now has to be rejected,
+// since the shutdown leaves too little time for its response.
 func (s *Server) rejectsNewRequests() bool { return s.drain.schedule.RejectsAt(s.Loop.Now()) }
 
-// Shutdown starts a graceful shutdown. Responses announce the end of their connections, and new connections are accepted until
-// StopAccept of the schedule. The function done is called when the listener and all connections are closed, and at ExitBy at the
-// latest. Further calls have no effect.
+// Shutdown starts a graceful shutdown.
+// Responses announce the end of their connections, and new connections are accepted until StopAccept of the schedule.
+// The function done is called when the listener and all connections are closed, and at ExitBy at the latest.
+// Further calls have no effect.
 func (s *Server) Shutdown(schedule shutdown.Schedule, done func()) {
 	if s.shuttingDown() {
 		return
@@ -26,8 +27,8 @@
 	s.applySchedule(schedule)
 }
 
-// ShutdownWithSuccessor starts a graceful shutdown like Shutdown, but closes the listening socket of this process at once. It is for a
-// process whose successor accepts connections from the same listener.
+// ShutdownWithSuccessor starts a graceful shutdown like Shutdown, but closes the listening socket of this process at once.
+// It is for a process whose successor accepts connections from the same listener.
 func (s *Server) ShutdownWithSuccessor(schedule shutdown.Schedule, done func()) {
 	if s.shuttingDown() {
 		return
@@ -58,9 +59,9 @@
 	s.endIfIdle()
 }
 
-// stopAccepting accepts all connections in the listener's queue and closes the listener. Clients regard connections in the queue as
-// established, and the close would reset them. StopQueueing makes sure that no connection enters the queue between the last accept and
-// the close, even if the process is suspended in between.
+// stopAccepting accepts all connections in the listener's queue and closes the listener.
+// Clients regard connections in the queue as established, and the close would reset them. StopQueueing makes
+// sure that no connection enters the queue between the last accept and the close, even if the process is suspended in between.
 func (s *Server) stopAccepting() {
 	if s.listener >= 0 {
 		s.Loop.StopQueueing(s.listener)
@@ -74,8 +75,8 @@
 	s.endIfIdle()
 }
 
-// endIfIdle ends the shutdown if the listener and all connections are closed. The end is deferred by a timer, since the caller that
-// has closed the last connection may still have to report the outcome of its request.
+// endIfIdle ends the shutdown if the listener and all connections are closed. The end is deferred by a timer,
+// since the caller that has closed the last connection may still have to report the outcome of its request.
 func (s *Server) endIfIdle() {
 	if s.drain.done != nil && s.listener < 0 && len(s.conns) == 0 {
 		s.drain.phaseTimers = append(s.drain.phaseTimers, s.Loop.After(0, s.endShutdown))
@@ -115,8 +116,9 @@
 	}
 }
 
-// closeIdle closes the idle connections that have already served a request. New connections stay open, since their first request is
-// probably in transit. Clients retry a request that fails on a reused connection, but not a first request on a new one.
+// closeIdle closes the idle connections that have already served a request.
+// New connections stay open, since their first request is probably in transit.
+// Clients retry a request that fails on a reused connection, but not a first request on a new one.
 func (s *Server) closeIdle() {
 	for e := s.readingConns.Front(); e != nil; {
 		c := e.Value.(*conn)
@@ -127,9 +129,9 @@
 	}
 }
 
-// rejectIncomplete ends all connections without a complete request when the shutdown leaves too little time for a response. Partial
-// requests are rejected with status 503. No upstream has run them, so clients can safely retry them at another instance. Connections
-// on which no part of a request has arrived are closed.
+// rejectIncomplete ends all connections without a complete request when the shutdown leaves too little time for a response.
+// Partial requests are rejected with status 503. No upstream has run them, so clients can safely retry them at another instance.
+// Connections on which no part of a request has arrived are closed.
 func (s *Server) rejectIncomplete() {
 	for e := s.readingConns.Front(); e != nil; {
 		c := e.Value.(*conn)
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -10,8 +10,8 @@
 	"salttrack/internal/shutdown"
 )
 
-// All requests that have been received on a connection must get their responses before a shutdown closes it. Requests that arrive
-// after RejectFrom of the schedule have to be rejected, and the connection closes after them.
+// All requests that have been received on a connection must get their responses before a shutdown closes it.
+// Requests that arrive after RejectFrom of the schedule have to be rejected, and the connection closes after them.
 func TestShutdownServesReceivedRequests(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	c := s.connect()
@@ -51,8 +51,8 @@
 	<-done
 }
 
-// During a shutdown new connections have to be accepted, readiness checks have to fail, and requests have to be served with responses
-// that announce the end of their connections. The shutdown has to end after the last response, with the listener closed.
+// During a shutdown new connections have to be accepted, readiness checks have to fail, and requests have to be served with
+// responses that announce the end of their connections. The shutdown has to end after the last response, with the listener closed.
 func TestShutdown(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	idle, busy := s.connect(), s.connect()
@@ -133,8 +133,8 @@
 	}
 }
 
-// During a shutdown a request that arrives slowly has to be served if it is complete before RejectFrom of the schedule. Requests that
-// are incomplete at RejectFrom have to be rejected.
+// During a shutdown a request that arrives slowly has to be served if it is complete before RejectFrom of the schedule.
+// Requests that are incomplete at RejectFrom have to be rejected.
 func TestShutdownServesSlowRequests(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	slow, partialHead, partialBody := s.connect(), s.connect(), s.connect()
--- a/internal/downstream/stream.go
+++ b/internal/downstream/stream.go
@@ -8,8 +8,8 @@
 	"salttrack/internal/loop"
 )
 
-// responseStream is the state of a connection on which a streamed response is written while its body is still being received from the
-// upstream. The connection's responseWriter does the writing and holds the unsent part of the head.
+// responseStream is the state of a connection on which a streamed response is written while its body is
+// still being received from the upstream. The connection's responseWriter does the writing and holds the unsent part of the head.
 type responseStream struct {
 	conn         *conn
 	stream       *bodystream.Stream // nil in all other states
@@ -20,8 +20,8 @@
 // active reports whether a streamed response is being written.
 func (s *responseStream) active() bool { return s.stream != nil }
 
-// start starts to write a streamed response to a request. HTTP/1.0 has no chunked transfer coding, so a response of unknown length to
-// an HTTP/1.0 request ends with the connection.
+// start starts to write a streamed response to a request.
+// HTTP/1.0 has no chunked transfer coding, so a response of unknown length to an HTTP/1.0 request ends with the connection.
 func (s *responseStream) start(stream *bodystream.Stream, r *http1.Request) {
 	c := s.conn
 	c.checkMayRespond()
@@ -60,8 +60,8 @@
 	c.writer.timedOut()
 }
 
-// finish is called when all bytes that the stream holds have been written. It reports whether the response is complete. If the stream
-// has ended before the end of the body, it closes the connection.
+// finish is called when all bytes that the stream holds have been written.
+// It reports whether the response is complete. If the stream has ended before the end of the body, it closes the connection.
 func (s *responseStream) finish() (complete bool) {
 	c := s.conn
 	switch {
--- a/internal/downstream/upload.go
+++ b/internal/downstream/upload.go
@@ -10,8 +10,8 @@
 	"salttrack/internal/loop"
 )
 
-// requestStream is the state of a connection that receives a streamed request body. The request is dispatched before its body is
-// complete, and its response may also be sent before that.
+// requestStream is the state of a connection that receives a streamed request body.
+// The request is dispatched before its body is complete, and its response may also be sent before that.
 type requestStream struct {
 	conn   *conn
 	stream *bodystream.Stream // passes the body to the upstream connection; nil in all other states
@@ -105,8 +105,8 @@
 	return true
 }
 
-// complete ends the stream after the last byte of the body and sets the deadline that the client has given. The bytes in following
-// were received after the body.
+// complete ends the stream after the last byte of the body and sets the deadline that the client has given.
+// The bytes in following were received after the body.
 func (s *requestStream) complete(following []byte) {
 	c := s.conn
 	stream := s.stream
@@ -129,8 +129,8 @@
 	s.stream.Flush()
 }
 
-// reject rejects a request whose body is incomplete and closes the connection after the response. An attempt that is in progress is
-// aborted.
+// reject rejects a request whose body is incomplete and closes the connection after the response.
+// An attempt that is in progress is aborted.
 func (s *requestStream) reject(status int) {
 	c := s.conn
 	x := c.pending.exchange
--- a/internal/downstream/validate.go
+++ b/internal/downstream/validate.go
@@ -23,8 +23,8 @@
 	errDuplicateRequestID = &http1.Error{Status: http1.StatusConflict, Reason: "a request with this id is open"}
 )
 
-// validate checks whether a request is valid, and returns its class number or an error. An upstream would reject an invalid request
-// as well, but at the cost of an attempt and possibly of the connection to it.
+// validate checks whether a request is valid, and returns its class number or an error.
+// An upstream would reject an invalid request as well, but at the cost of an attempt and possibly of the connection to it.
 func (s *Server) validate(r *http1.Request, path string) (uint8, *http1.Error) {
 	if r.Method != http1.MethodGet && r.Method != http1.MethodPost {
 		return 0, errMethodNotSupported
@@ -42,8 +42,8 @@
 	return class, s.validateIdempotency(r, s.settings.Idempotency[class])
 }
 
-// validateIdempotency checks whether the method, body, idempotency key and id of a request are allowed for a class with the given
-// idempotency.
+// validateIdempotency checks whether the method, body,
+// idempotency key and id of a request are allowed for a class with the given idempotency.
 func (s *Server) validateIdempotency(r *http1.Request, idempotency balance.Idempotency) *http1.Error {
 	idempotent := idempotency == balance.Idempotent
 	_, open := s.openRequestIDs[r.ID]
--- a/internal/downstream/validate_test.go
+++ b/internal/downstream/validate_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// A request must be rejected if another request with the same id is open. The id may be reused once that request has its response or
-// its client has disconnected.
+// A request must be rejected if another request with the same id is open.
+// The id may be reused once that request has its response or its client has disconnected.
 func TestDuplicateRequestID(t *testing.T) {
 	s := newTestServer(t, 64, 4)
 	first, other := s.connect(), s.connect()
--- a/internal/http1/body_encoder.go
+++ b/internal/http1/body_encoder.go
@@ -23,8 +23,8 @@
 	return &BodyEncoder{stream: stream, chunked: chunked}
 }
 
-// Next returns the next bytes to write, or an empty slice if the stream has none at present. The slice is valid until the next call
-// of Advance.
+// Next returns the next bytes to write, or an empty slice if the stream has none at present.
+// The slice is valid until the next call of Advance.
 func (e *BodyEncoder) Next() []byte {
 	if e.remaining == 0 && !e.ended {
 		e.startPart()
@@ -36,8 +36,8 @@
 	return p[:min(len(p), e.remaining)]
 }
 
-// startPart starts a chunk, or a part of a body without chunks, with the bytes that the stream holds. At the end of a complete
-// stream it adds the last chunk.
+// startPart starts a chunk, or a part of a body without chunks, with the bytes that the stream holds.
+// At the end of a complete stream it adds the last chunk.
 func (e *BodyEncoder) startPart() {
 	e.remaining = len(e.stream.Peek())
 	switch {
--- a/internal/http1/decoder.go
+++ b/internal/http1/decoder.go
@@ -36,20 +36,20 @@
 	transferCoding bool  // the message has Transfer-Encoding: chunked
 }
 
-// decoder decodes the messages of one connection in sequence. Between calls it keeps an incomplete line, limited to MaxHeadBytes,
-// and the buffered body, limited to MaxBufferedBodyBytes.
+// decoder decodes the messages of one connection in sequence.
+// Between calls it keeps an incomplete line, limited to MaxHeadBytes, and the buffered body, limited to MaxBufferedBodyBytes.
 type decoder struct {
-	state       state
-	strictLines bool   // if true, a bare LF is an error in every line; if false, only in the lines after the head
-	partialLine []byte // beginning of a line whose end has not been received yet
-	lineBytes   int    // bytes received of the head, of the lines of the current chunk, or of the trailer section
-	framing     framing
-	remaining   int64              // bytes that are missing of a body with Content-Length, or of the current chunk
-	bodyBytes   int64              // bytes received of the body; not counted if there is a sink
-	body        []byte             // buffered body
-	exceeds     bool               // the body exceeds MaxBufferedBodyBytes
-	sink        func([]byte) error // if not nil, receives the whole body of every message, of any length, in place of body
-	stream      func([]byte)       // if not nil, receives the rest of a streamed body in place of body
+	state         state
+	strictLines   bool   // if true, a bare LF is an error in every line; if false, only in the lines after the head
+	partialLine   []byte // beginning of a line whose end has not been received yet
+	lineBytes     int    // bytes received of the head, of the lines of the current chunk, or of the trailer section
+	framing       framing
+	remaining     int64              // bytes that are missing of a body with Content-Length, or of the current chunk
+	bodyBytes     int64              // bytes received of the body; not counted if there is a sink
+	body          []byte             // buffered body
+	exceedsBuffer bool               // the body exceeds MaxBufferedBodyBytes
+	sink          func([]byte) error // if not nil, receives the whole body of every message, of any length, in place of body
+	stream        func([]byte)       // if not nil, receives the rest of a streamed body in place of body
 }
 
 // maxRetainedLineBytes is the largest capacity in bytes of a line buffer that is reused for the next message.
@@ -79,15 +79,15 @@
 // InBody reports whether the head is complete and the body is incomplete.
 func (d *decoder) InBody() bool { return d.state > stateFields && d.state != stateComplete }
 
-// NeedsStreaming reports whether the body exceeds MaxBufferedBodyBytes and is not streamed yet. The caller has to call StreamBodyTo
-// before it feeds more bytes.
-func (d *decoder) NeedsStreaming() bool { return d.exceeds && d.stream == nil }
+// NeedsStreaming reports whether the body exceeds MaxBufferedBodyBytes and is not streamed yet.
+// The caller has to call StreamBodyTo before it feeds more bytes.
+func (d *decoder) NeedsStreaming() bool { return d.exceedsBuffer && d.stream == nil }
 
 // ContentLength returns the value of the field Content-Length in bytes, -1 if the message has none.
 func (d *decoder) ContentLength() int64 { return d.framing.contentLength }
 
-// StreamBodyTo makes the decoder pass the rest of the body to a function as it is received. It returns the bytes of the body that
-// have been received before.
+// StreamBodyTo makes the decoder pass the rest of the body to a function as it is received.
+// It returns the bytes of the body that have been received before.
 func (d *decoder) StreamBodyTo(stream func([]byte)) (received []byte) {
 	received = d.body
 	d.body = nil
@@ -142,7 +142,7 @@
 	if d.bodyBytes > MaxBodyBytes {
 		return errBodyTooLarge
 	}
-	d.exceeds = d.exceeds || d.bodyBytes > MaxBufferedBodyBytes
+	d.exceedsBuffer = d.exceedsBuffer || d.bodyBytes > MaxBufferedBodyBytes
 	if d.stream != nil {
 		d.stream(p)
 	} else {
@@ -228,7 +228,7 @@
 	if d.sink == nil && d.remaining > MaxBodyBytes {
 		return errBodyTooLarge
 	}
-	d.exceeds = d.sink == nil && d.remaining > MaxBufferedBodyBytes
+	d.exceedsBuffer = d.sink == nil && d.remaining > MaxBufferedBodyBytes
 	if d.remaining == 0 {
 		d.state = stateComplete
 	}
--- a/internal/http1/error.go
+++ b/internal/http1/error.go
@@ -14,8 +14,8 @@
 // Error returns the text of the error.
 func (e *Error) Error() string { return e.Reason }
 
-// StatusOf returns the status code of the response to a request whose decoding has failed with err. It is 400 if err is not an
-// *Error.
+// StatusOf returns the status code of the response to a request whose decoding has failed with err.
+// It is 400 if err is not an *Error.
 func StatusOf(err error) int {
 	if e := (*Error)(nil); errors.As(err, &e) {
 		return e.Status
@@ -23,7 +23,7 @@
 	return StatusBadRequest
 }
 
-// Errors of the decoders.
+// Errors that the decoders return.
 var (
 	errHeadTooLarge         = &Error{StatusHeaderFieldsTooLarge, "head too large"}
 	errBodyTooLarge         = &Error{StatusContentTooLarge, "body too large"}
--- a/internal/http1/example_test.go
+++ b/internal/http1/example_test.go
@@ -7,8 +7,8 @@
 	"salttrack/internal/http1"
 )
 
-// A request is decoded from two fragments, then encoded for an upstream. Fields that salttrack does not know, such as User-Agent, are not
-// forwarded.
+// A request is decoded from two fragments, then encoded for an upstream.
+// Fields that salttrack does not know, such as User-Agent, are not forwarded.
 func Example() {
 	decoder := http1.NewRequestDecoder()
 	for _, fragment := range []string{
--- a/internal/http1/field.go
+++ b/internal/http1/field.go
@@ -68,8 +68,8 @@
 	return true
 }
 
-// isDecimal reports whether p consists of digits and decimal points only. This excludes signs, exponents, hexadecimal numbers, Inf
-// and NaN, all of which strconv.ParseFloat accepts.
+// isDecimal reports whether p consists of digits and decimal points only.
+// This excludes signs, exponents, hexadecimal numbers, Inf and NaN, all of which strconv.ParseFloat accepts.
 func isDecimal(p []byte) bool {
 	for _, c := range p {
 		if c != '.' && (c < '0' || c > '9') {
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzRequest checks for any input that the decoder does not panic, does not buffer more than its limits allow, and returns the same
-// result whether the input is fed at once or in fragments.
+// FuzzRequest checks for any input that the decoder does not panic,
+// does not buffer more than its limits allow, and returns the same result whether the input is fed at once or in fragments.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /keep HTTP/1.1\r\nX-Txn: 1\r\nContent-Length: 5\r\n\r\nhello"), uint8(3))
 	f.Add([]byte("POST /p HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), uint8(1))
@@ -26,7 +26,7 @@
 	})
 }
 
-// FuzzResponse checks the same for the decoder of responses.
+// FuzzResponse checks the same properties of the response decoder as FuzzRequest does of the request decoder.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"), uint8(3))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"), uint8(1))
--- a/internal/http1/golden_test.go
+++ b/internal/http1/golden_test.go
@@ -8,8 +8,8 @@
 	"salttrack/internal/bodystream"
 )
 
-// Requests have to be forwarded to upstreams with exactly the expected bytes. The fields that salttrack knows are written in a fixed
-// order; all others are dropped.
+// Requests have to be forwarded to upstreams with exactly the expected bytes.
+// The fields that salttrack knows are written in a fixed order; all others are dropped.
 func TestForwardedRequestBytes(t *testing.T) {
 	const all = "Host: client.example\r\nX-Txn: 9b1f\r\nX-Lane: keep\r\nX-Remaining: 0.480\r\nX-Resent: 1\r\n" +
 		"Idempotency-Key: k1\r\nX-Labels: a=1, b=2\r\n"
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
 // Package http1 encodes and decodes the subset of HTTP/1.x that salttrack supports. Decoders accept input in fragments of any size.
-// A body of up to MaxBufferedBodyBytes is buffered with its message; a longer body is streamed. Encoders append to a buffer of the
-// caller. The package does no I/O.
+// A body of up to MaxBufferedBodyBytes is buffered with its message; a longer body is streamed.
+// Encoders append to a buffer of the caller. The package does no I/O.
 //
 // In comments, the head of a message is its start line (request line or status line) and its header fields.
 package http1
@@ -12,8 +12,8 @@
 	MaxBodyBytes         = 33 << 20 // size of any body, except one that is passed to a sink
 )
 
-// Names of header fields. The constants have the usual terms for the custom fields (X-...), whose names on the wire differ from
-// these terms and appear only here.
+// Names of header fields. The constants have the usual terms for the custom fields (X-...),
+// whose names on the wire differ from these terms and appear only here.
 const (
 	fieldHost             = "Host"
 	fieldConnection       = "Connection"
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -28,9 +28,9 @@
 // RequestDecoder decodes the requests of one connection in sequence.
 type RequestDecoder struct {
 	decoder
-	request     Request
-	persistence persistence
-	anyPath     bool // ambiguous paths are allowed
+	request             Request
+	persistence         persistence
+	allowAmbiguousPaths bool // paths for which isUnambiguousPath is false are not rejected
 }
 
 // NewRequestDecoder returns a decoder for the requests of clients.
@@ -41,11 +41,11 @@
 	return d
 }
 
-// NewAdminRequestDecoder returns a decoder for the requests to the admin server. It allows ambiguous paths, since these requests are
-// not forwarded to an upstream that may interpret the path differently. It discards bodies.
+// NewAdminRequestDecoder returns a decoder for the requests to the admin server. It allows ambiguous paths,
+// since these requests are not forwarded to an upstream that may interpret the path differently. It discards bodies.
 func NewAdminRequestDecoder() *RequestDecoder {
 	d := NewRequestDecoder()
-	d.anyPath = true
+	d.allowAmbiguousPaths = true
 	d.sink = func([]byte) error { return nil }
 	return d
 }
@@ -57,21 +57,21 @@
 	d.persistence = persistence{}
 }
 
-// Feed decodes bytes until a request is complete. It returns the number of bytes consumed. An error is an *Error; after it, no
-// further bytes of the connection can be decoded.
+// Feed decodes bytes until a request is complete.
+// It returns the number of bytes consumed. An error is an *Error; after it, no further bytes of the connection can be decoded.
 func (d *RequestDecoder) Feed(p []byte) (int, error) { return d.feed(p, d) }
 
 // Started reports whether any byte of the current request has been received.
 func (d *RequestDecoder) Started() bool { return d.hasInput() }
 
-// ExpectsContinue reports whether the client waits for 100 Continue. That is so while the head is complete and no byte of the body
-// has been received.
+// ExpectsContinue reports whether the client waits for 100 Continue.
+// That is so while the head is complete and no byte of the body has been received.
 func (d *RequestDecoder) ExpectsContinue() bool {
 	return d.request.ExpectContinue && d.bodyBytes == 0 && (d.state == stateSizedBody || d.state == stateChunkSize)
 }
 
-// Request returns the decoded request. It may be called when the request is complete, or, if the body is streamed, when the head is
-// complete.
+// Request returns the decoded request.
+// It may be called when the request is complete, or, if the body is streamed, when the head is complete.
 func (d *RequestDecoder) Request() Request {
 	d.request.Body = d.body
 	d.request.Close = d.persistence.closes()
@@ -92,7 +92,7 @@
 		return err
 	}
 	path, _, _ := bytes.Cut(target, []byte("?"))
-	if !d.anyPath && !isUnambiguousPath(path) {
+	if !d.allowAmbiguousPaths && !isUnambiguousPath(path) {
 		return errAmbiguousPath
 	}
 	minor, ok := parseVersion(version)
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// field parses a header field. The text fields have to be printable ASCII, since they are forwarded to upstreams or compared with
-// values that are printable ASCII.
+// field parses a header field. The text fields have to be printable ASCII,
+// since they are forwarded to upstreams or compared with values that are printable ASCII.
 func (d *RequestDecoder) field(name, value []byte) error {
 	r := &d.request
 	switch {
@@ -168,8 +168,8 @@
 	return stateComplete, nil
 }
 
-// AppendRequest appends the request that is sent to an upstream: the head with the value of Host, and the body unless it is streamed.
-// The value of X-Remaining is remainingMS, the time in milliseconds for which the caller waits for the response.
+// AppendRequest appends the request that is sent to an upstream: the head with the value of Host, and the body unless
+// it is streamed. The value of X-Remaining is remainingMS, the time in milliseconds for which the caller waits for the response.
 func AppendRequest(p []byte, r *Request, host string, remainingMS float64) []byte {
 	p = append(p, r.Method...)
 	p = append(p, ' ')
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -33,8 +33,8 @@
 // maxInterimResponses is the largest number of interim responses before a final response.
 const maxInterimResponses = 16
 
-// NewResponseDecoder returns a decoder for responses. If sink is not nil, bodies are passed to it as they are received, and their
-// length is not limited.
+// NewResponseDecoder returns a decoder for responses.
+// If sink is not nil, bodies are passed to it as they are received, and their length is not limited.
 func NewResponseDecoder(sink func([]byte) error) *ResponseDecoder {
 	d := &ResponseDecoder{}
 	d.sink = sink
@@ -55,8 +55,8 @@
 	d.persistence = persistence{}
 }
 
-// Feed decodes bytes until a final response is complete. It returns the number of bytes consumed. An error is an *Error or an error
-// of the sink; after it, no further bytes of the connection can be decoded.
+// Feed decodes bytes until a final response is complete. It returns the number of bytes consumed.
+// An error is an *Error or an error of the sink; after it, no further bytes of the connection can be decoded.
 func (d *ResponseDecoder) Feed(p []byte) (int, error) {
 	consumed := 0
 	for {
--- a/internal/http1/response_encoder.go
+++ b/internal/http1/response_encoder.go
@@ -33,8 +33,8 @@
 	return append(p, body...)
 }
 
-// StreamedResponseHead describes the head of a streamed response, whose status is 200. A body of unknown length that is not chunked ends with
-// the connection.
+// StreamedResponseHead describes the head of a streamed response, whose status is 200.
+// A body of unknown length that is not chunked ends with the connection.
 type StreamedResponseHead struct {
 	ContentLength int64 // length of the body in bytes, -1 if unknown
 	Chunked       bool  // adds Transfer-Encoding: chunked if the length is unknown
--- a/internal/http1/streaming_test.go
+++ b/internal/http1/streaming_test.go
@@ -15,8 +15,8 @@
 	StreamBodyTo(func([]byte)) []byte
 }
 
-// A streamed body has to be passed on unchanged for every framing and wherever the input is split, and the bytes that follow it must
-// not be consumed.
+// A streamed body has to be passed on unchanged for every framing and wherever the input is split,
+// and the bytes that follow it must not be consumed.
 func TestStreamedBody(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", (MaxBufferedBodyBytes+4096)/16)
 	half := len(body) / 2
