--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -19,7 +19,7 @@
 // the whole process.
 type host struct {
 	instances map[simwire.InstanceID]instance
-	snapshots [simwire.MaxLists][]simwire.Endpoint
+	snapshots [simwire.MaxEndpointLists][]simwire.Endpoint
 	endpoints []balance.Endpoint // reused by each update
 }
 
@@ -51,7 +51,7 @@
 func (h *host) handle(id simwire.InstanceID, event simwire.Event, now balance.Millis, reply *simwire.Reply) error {
 	switch event := event.(type) {
 	case *simwire.EndpointSnapshot:
-		h.snapshots[event.List] = event.AppendEndpoints(h.snapshots[event.List][:0])
+		h.snapshots[event.ListNumber] = event.AppendEndpoints(h.snapshots[event.ListNumber][:0])
 		return nil
 	case *simwire.InstanceKilled:
 		delete(h.instances, id)
@@ -121,7 +121,7 @@
 		target.OnWatchFailed(now)
 		return
 	}
-	h.endpoints = appendEndpoints(h.endpoints[:0], h.snapshots[event.List])
+	h.endpoints = appendEndpoints(h.endpoints[:0], h.snapshots[event.ListNumber])
 	update := balance.EndpointUpdate{Endpoints: h.endpoints, Snapshot: event.Kind != simwire.Delta}
 	target.OnEndpointUpdate(now, update)
 }
--- a/internal/downstream/reader_test.go
+++ b/internal/downstream/reader_test.go
@@ -201,7 +201,7 @@
 	depth chan int
 }
 
-func (d depthRecorder) Accept(x *exchange.Exchange) {
+func (d depthRecorder) RequestArrived(x *exchange.Exchange) {
 	d.depth <- runtime.Callers(0, make([]uintptr, 4096))
-	d.testServer.Accept(x)
+	d.testServer.RequestArrived(x)
 }
--- a/internal/driver/counters.go
+++ b/internal/driver/counters.go
@@ -74,7 +74,7 @@
 
 // RequestCounts are the numbers of requests accepted and ended since the start.
 type RequestCounts struct {
-	Accepted  uint64
+	Received  uint64
 	Served    uint64
 	Rejected  uint64
 	Failed    uint64
@@ -83,13 +83,13 @@
 
 // InProgress returns the number of requests without a final response.
 func (r RequestCounts) InProgress() int {
-	return int(r.Accepted - r.Served - r.Rejected - r.Failed - r.Abandoned)
+	return int(r.Received - r.Served - r.Rejected - r.Failed - r.Abandoned)
 }
 
 // Counts returns the numbers of requests since the start.
 func (d *Driver) Counts() RequestCounts {
 	return RequestCounts{
-		Accepted:  d.counters.accepted.Value(),
+		Received:  d.counters.accepted.Value(),
 		Served:    d.counters.served.Value(),
 		Rejected:  d.counters.rejected.Value(),
 		Failed:    d.counters.failed.Value(),
--- a/internal/driver/events.go
+++ b/internal/driver/events.go
@@ -8,8 +8,8 @@
 	"salttrack/internal/trace"
 )
 
-// Accept passes a new request to the Balancer. The response may be sent before Accept returns.
-func (d *Driver) Accept(x *exchange.Exchange) {
+// RequestArrived passes a new request to the Balancer. The response may be sent before RequestArrived returns.
+func (d *Driver) RequestArrived(x *exchange.Exchange) {
 	x.ID = d.nextRequestID()
 	d.exchanges[x.ID] = x
 	x.ClassRules = &d.classes[x.Class]
--- a/internal/driver/helpers_test.go
+++ b/internal/driver/helpers_test.go
@@ -128,7 +128,7 @@
 	x.Class = class
 	x.RespondBy = f.now + deadline
 	x.ClientDeadline = x.RespondBy + 10
-	f.driver.Accept(x)
+	f.driver.RequestArrived(x)
 	return x
 }
 
--- a/internal/driver/shutdown_test.go
+++ b/internal/driver/shutdown_test.go
@@ -13,7 +13,7 @@
 	x.BodyIncomplete = true
 	x.RespondBy = f.now + 1e6
 	x.ClientDeadline = x.RespondBy
-	f.driver.Accept(x)
+	f.driver.RequestArrived(x)
 	return x
 }
 
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -66,7 +66,7 @@
 		"duration_ms":         int(now - s.SignalledAt),
 		"kill_in_ms":          int(s.EarliestKill - now),
 		"in_flight_at_signal": before.InProgress(),
-		"accepted":            after.Accepted - before.Accepted,
+		"accepted":            after.Received - before.Received,
 		"served":              after.Served - before.Served,
 		"rejected":            after.Rejected - before.Rejected,
 		"failed":              after.Failed - before.Failed,
--- a/internal/simwire/endpoint.go
+++ b/internal/simwire/endpoint.go
@@ -29,14 +29,14 @@
 // EndpointSnapshot is a numbered endpoint list, which later EndpointUpdates of any instance refer to. A new one replaces
 // the one before of the same number.
 type EndpointSnapshot struct {
-	List      uint32 // below MaxLists
-	endpoints []byte
+	ListNumber uint32 // below MaxLists
+	endpoints  []byte
 }
 
 func (e *EndpointSnapshot) decode(r record) (err error) {
-	e.List = r.uint32(1)
-	if e.List >= MaxLists {
-		return fmt.Errorf("%w %d", ErrListNumber, e.List)
+	e.ListNumber = r.uint32(1)
+	if e.ListNumber >= MaxEndpointLists {
+		return fmt.Errorf("%w %d", ErrListNumber, e.ListNumber)
 	}
 	e.endpoints, err = r.content(5, endpointSize)
 	return err
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -20,8 +20,8 @@
 	codeEndpointSnapshot  = 110 // INVENTORY
 )
 
-// MaxLists is how many endpoint lists may be numbered at the same time.
-const MaxLists = 16
+// MaxEndpointLists is how many endpoint lists may be numbered at the same time.
+const MaxEndpointLists = 16
 
 // Event is a pointer to one of the event types of this package.
 type Event interface {
@@ -216,9 +216,9 @@
 
 // EndpointUpdate refers to the endpoint list that an instance receives from discovery.
 type EndpointUpdate struct {
-	List    uint32 // number of the EndpointSnapshot that has the endpoints
-	Kind    UpdateKind
-	Version uint64
+	ListNumber uint32 // number of the EndpointSnapshot that has the endpoints
+	Kind       UpdateKind
+	Version    uint64
 }
 
 // UpdateKind says how an endpoint list relates to the one that an instance has.
@@ -233,7 +233,7 @@
 )
 
 func (e *EndpointUpdate) decode(r record) error {
-	e.List = r.uint32(3)
+	e.ListNumber = r.uint32(3)
 	e.Kind = UpdateKind(r.uint8(7))
 	e.Version = r.uint64(8)
 	if e.Kind > WatchFailed {
