--- a/internal/driver/actions.go
+++ b/internal/driver/actions.go
@@ -7,8 +7,9 @@
 	"salttrack/internal/trace"
 )
 
-// executeActions executes the Balancer's pending actions in order. An action may cause events, whose actions are
-// queued behind; a nested call leaves them to the outermost one, so that no action starts within another.
+// executeActions executes the Balancer's pending actions in order. An action can cause events, which can add further
+// actions to the Balancer's queue. A nested call returns at once and leaves these actions to the outermost call, so that
+// no action is executed in the middle of another one.
 func (d *Driver) executeActions() {
 	if d.executing {
 		return
@@ -20,7 +21,7 @@
 	d.executing = false
 }
 
-// execute executes an action. One for an exchange that was forgotten meanwhile has no effect.
+// execute executes one action. It ignores an action for an exchange that has been removed in the meantime.
 func (d *Driver) execute(action balance.Action) {
 	switch a := action.(type) {
 	case *balance.ForwardRequest:
@@ -45,20 +46,20 @@
 		}
 	case *balance.SetTimer:
 		d.setBalancerTimer(a)
-	case *balance.WatchEndpoints: // discovery watches the endpoints in any case
+	case *balance.WatchEndpoints: // nothing to do: the discovery client always watches the endpoint list
 	}
 }
 
-// forward sends a request to an upstream, unless the exchange has ended since the decision. The time-out of the
-// attempt is not later than the deadline of the response.
+// forward starts an attempt at the upstream that the Balancer has selected. If the exchange has ended since that
+// decision, the attempt is reported as not sent. The attempt times out no later than the deadline of the response.
 func (d *Driver) forward(x *exchange.Exchange, action *balance.ForwardRequest) {
 	if !x.Sendable() {
 		d.skipAttempt(x, action.Upstream)
 		return
 	}
-	invariant.Check(d.upstreamSendable(action.Upstream), "an attempt goes to an upstream that is ready and not disabled")
+	invariant.Check(d.upstreamUsable(action.Upstream), "an attempt is sent only to an upstream that is ready and not disabled")
 	invariant.Check(x.ClassRules.Idempotency != balance.NonIdempotent || x.NeverRan(),
-		"a non-idempotent request is retried only if it never ran")
+		"a non-idempotent request is retried only if it was never executed")
 	now := d.now()
 	timeoutAt := x.RespondBy
 	if action.Timeout != 0 && !x.BodyIncomplete {
@@ -74,7 +75,7 @@
 	d.upstreams.Start(a)
 }
 
-// skipAttempt reports an attempt as not sent.
+// skipAttempt adds an attempt that is not sent and reports it to the Balancer with the outcome balance.NotSent.
 func (d *Driver) skipAttempt(x *exchange.Exchange, upstream balance.UpstreamID) {
 	d.counters.attemptsEnded[balance.NotSent].Inc()
 	d.balancer.OnAttemptEnded(d.now(), &balance.AttemptEnded{
@@ -86,9 +87,10 @@
 	d.executeActions()
 }
 
+// reject ends an exchange with the final response exchange.Rejected.
 func (d *Driver) reject(x *exchange.Exchange, action *balance.RejectRequest) {
-	invariant.Check(x.Disposition() != exchange.InProgress || repeatableAfterRun(x.ClassRules) || x.NeverRan(),
-		"a rejected request is safe to repeat")
+	invariant.Check(x.Disposition() != exchange.InProgress || safeToRetryAfterExecution(x.ClassRules) || x.NeverRan(),
+		"a rejected request is safe to retry")
 	d.finish(x, exchange.Response{
 		Disposition: exchange.Rejected,
 		RetryAfter:  action.RetryAfter,
@@ -96,8 +98,9 @@
 	})
 }
 
-// repeatableAfterRun reports whether a client may safely repeat a request that may have run already.
-func repeatableAfterRun(class *balance.Class) bool {
+// safeToRetryAfterExecution reports whether a client may safely retry a request of a class that an upstream may have
+// executed already.
+func safeToRetryAfterExecution(class *balance.Class) bool {
 	switch class.Idempotency {
 	case balance.Idempotent:
 		return true
@@ -108,6 +111,7 @@
 	}
 }
 
+// cancelAttempt cancels an attempt. It has no effect on an attempt that has ended or does not exist.
 func (d *Driver) cancelAttempt(x *exchange.Exchange, number int) {
 	if number >= len(x.Attempts) || x.Attempts[number].Ended {
 		return
@@ -116,6 +120,8 @@
 	d.stopAttempt(x.Attempts[number], balance.Cancelled)
 }
 
+// setAttemptTimeout replaces the timeout of an attempt in flight. A timeout of 0 changes nothing: the Balancer requests
+// this action only after RequestComplete, which has already set the timeout to the deadline of the response.
 func (d *Driver) setAttemptTimeout(x *exchange.Exchange, action *balance.SetAttemptTimeout) {
 	a := x.Attempts[action.Attempt]
 	if a.Ended || action.Timeout == 0 {
@@ -124,7 +130,8 @@
 	d.setTimeout(a, min(x.RespondBy, d.now()+action.Timeout))
 }
 
-// setBalancerTimer sets a timer of the Balancer. The action is not valid any more when the timer fires.
+// setBalancerTimer starts a timer for the Balancer. The callback uses a copy of the timer's id, since the Balancer
+// reuses the memory of the action before the timer fires.
 func (d *Driver) setBalancerTimer(action *balance.SetTimer) {
 	id := action.Timer
 	d.balancerTimers++
@@ -135,6 +142,7 @@
 	})
 }
 
+// traceAttemptSent writes a trace event for an attempt that is being sent. Attempts are counted from 1 in the trace.
 func (d *Driver) traceAttemptSent(a *exchange.Attempt) {
 	if !d.tracer.Enabled() {
 		return
--- a/internal/driver/counters.go
+++ b/internal/driver/counters.go
@@ -6,7 +6,7 @@
 	"salttrack/internal/exchange"
 )
 
-// outcomeNames are the outcomes of attempts in the log and in the names of counters.
+// outcomeNames holds the names of attempt outcomes that are used in trace events and counter names.
 var outcomeNames = [...]string{
 	balance.OK:              "ok",
 	balance.UpstreamError:   "upstream_error",
@@ -19,25 +19,27 @@
 	balance.InvalidRequest:  "invalid_request",
 }
 
-// attemptsEndedPrefix and an outcome's name make the name of a counter.
+// attemptsEndedPrefix is the first part of the names of the counters of attempt outcomes. The outcome's name follows.
 const attemptsEndedPrefix = "attempts_ended_"
 
+// counters holds the counters of requests, attempts and endpoint updates.
 type counters struct {
 	accepted      *counter.Counter
 	served        *counter.Counter
 	rejected      *counter.Counter
 	failed        *counter.Counter
 	abandoned     *counter.Counter
-	lateResponses *counter.Counter // sent after the client's own deadline
+	lateResponses *counter.Counter // final responses sent after the client's own deadline
 
 	attempts          *counter.Counter
-	retries           *counter.Counter                    // attempts after the first of a request
-	attemptsCancelled *counter.Counter                    // by an action of the balancer
-	attemptsEnded     [len(outcomeNames)]*counter.Counter // by outcome
+	retries           *counter.Counter                    // attempts other than the first one of a request
+	attemptsCancelled *counter.Counter                    // attempts that the Balancer has cancelled
+	attemptsEnded     [len(outcomeNames)]*counter.Counter // indexed by balance.Outcome
 
 	endpointUpdates *counter.Counter
 }
 
+// newCounters adds the driver's counters to a set. inProgress returns the value of the gauge requests_in_progress.
 func newCounters(set *counter.Set, inProgress func() int) counters {
 	c := counters{
 		accepted:  set.New("requests_accepted"),
@@ -58,7 +60,7 @@
 	return c
 }
 
-// countResponse counts the end of an exchange.
+// countResponse increments the counter of exchanges that ended with a disposition.
 func (c *counters) countResponse(disposition exchange.Disposition) {
 	switch disposition {
 	case exchange.Served:
@@ -72,7 +74,7 @@
 	}
 }
 
-// RequestCounts are the numbers of requests accepted and ended since the start.
+// RequestCounts holds the numbers of requests that the driver has received and ended since it was created.
 type RequestCounts struct {
 	Received  uint64
 	Served    uint64
@@ -81,12 +83,12 @@
 	Abandoned uint64
 }
 
-// InProgress returns the number of requests without a final response.
+// InProgress returns the number of requests that have not ended.
 func (r RequestCounts) InProgress() int {
 	return int(r.Received - r.Served - r.Rejected - r.Failed - r.Abandoned)
 }
 
-// Counts returns the numbers of requests since the start.
+// Counts returns the numbers of requests since the driver was created.
 func (d *Driver) Counts() RequestCounts {
 	return RequestCounts{
 		Received:  d.counters.accepted.Value(),
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,7 +1,8 @@
-// Package driver connects the balancing decisions (package balance) to the two sides that carry them out. Events of
-// clients, attempts, discovery and operators become events of the Balancer; its actions become attempts, responses
-// and timers. The driver takes no decisions and does no I/O, and its clock is passed in. All methods are called on
-// the event loop.
+// Package driver connects package balance, which makes the load-balancing decisions, to the packages that communicate
+// with clients and upstreams. It reports the events of clients, attempts, discovery and operators to a
+// balance.Balancer, and executes the Balancer's actions by starting attempts, sending responses and setting timers.
+// The driver makes no load-balancing decisions, does no I/O and reads the time from a clock that its user provides.
+// All methods must be called on the event loop.
 package driver
 
 import (
@@ -14,29 +15,29 @@
 	"salttrack/internal/trace"
 )
 
-// Upstreams sends attempts to upstreams.
+// Upstreams sends attempts to upstreams and cancels them.
 type Upstreams interface {
-	// Start sends an attempt. Its end is reported by Driver.AttemptEnded, perhaps before Start returns.
+	// Start sends an attempt. The end of the attempt is reported by Driver.AttemptEnded, possibly before Start returns.
 	Start(*exchange.Attempt)
-	// Cancel stops an attempt: its connection is closed, and its end is not reported.
+	// Cancel aborts an attempt and closes its connection. The end of the attempt is not reported.
 	Cancel(*exchange.Attempt)
-	// CancelUnsent reports the attempts that wait for a connection to an upstream as not sent, and closes the idle
-	// connections to it.
+	// CancelUnsent ends the attempts that are waiting for a connection to an upstream, reports them with the outcome
+	// balance.NotSent, and closes the idle connections to that upstream.
 	CancelUnsent(balance.UpstreamID)
 }
 
-// Options configures a driver.
+// Options holds the configuration and the dependencies of a Driver.
 type Options struct {
 	Config    balance.Config
-	Seed      uint64
-	Now       func() balance.Millis // a monotonic clock
-	Timers    *timer.Heap           // on the same clock
+	Seed      uint64                // of the Balancer's random number generator
+	Now       func() balance.Millis // returns the time of a monotonic clock, in ms
+	Timers    *timer.Heap           // uses the same clock as Now
 	Upstreams Upstreams
 	Counters  *counter.Set
-	Trace     *trace.Tracer // nil for none
+	Trace     *trace.Tracer // writes trace events of requests; nil disables tracing
 }
 
-// Driver runs one Balancer and owns the exchanges in progress and their timers.
+// Driver runs one Balancer and manages the exchanges in progress and their timers.
 type Driver struct {
 	now       func() balance.Millis
 	timers    *timer.Heap
@@ -45,21 +46,22 @@
 	counters  counters
 
 	balancer       *balance.Balancer
-	balancerTimers int  // timers of the balancer that are pending
-	executing      bool // the balancer's actions are being executed
-	classes        []balance.Class
-	ready          map[balance.UpstreamID]bool // by the last endpoint updates
-	disabled       map[balance.UpstreamID]bool // by the operators
-
-	exchanges       map[balance.RequestID]*exchange.Exchange // in progress, or with attempts in flight
-	lastRequestID   balance.RequestID
-	attemptTimeouts map[*exchange.Attempt]*timer.Timer // of the attempts in flight
-
-	shutdownDeadline balance.Millis // of every response, infinite while there is none
-	shutdownTimer    *timer.Timer   // ends the exchanges in progress at that time
+	balancerTimers int                         // number of pending timers that the Balancer has set
+	executing      bool                        // whether executeActions is running
+	classes        []balance.Class             // of the current settings, indexed by class number
+	ready          map[balance.UpstreamID]bool // upstreams that the endpoint list says are ready
+	disabled       map[balance.UpstreamID]bool // upstreams that operators have disabled
+
+	exchanges       map[balance.RequestID]*exchange.Exchange // exchanges in progress or with attempts in flight
+	lastRequestID   balance.RequestID                        // the id that was assigned last
+	attemptTimeouts map[*exchange.Attempt]*timer.Timer       // timeouts of attempts in flight
+
+	shutdownDeadline balance.Millis // latest time of any final response; infinite unless a shutdown has set it
+	shutdownTimer    *timer.Timer   // calls endAllExchanges at shutdownDeadline; nil unless a shutdown has set it
 }
 
-// New returns a driver with a new Balancer. Start starts it; Close releases its timers.
+// New returns a driver with a new Balancer. Start must be called before the driver is used. Close must be called when
+// the driver is no longer used.
 func New(o Options) *Driver {
 	d := &Driver{
 		now:              o.Now,
@@ -78,20 +80,20 @@
 	return d
 }
 
-// Start executes the first actions of the Balancer.
+// Start executes the actions that the Balancer requested when it was created.
 func (d *Driver) Start() { d.executeActions() }
 
-// Close stops the timer of the shutdown deadline.
+// Close stops the timer that SetShutdownDeadline has set, if there is one.
 func (d *Driver) Close() { d.timers.Stop(d.shutdownTimer) }
 
-// ApplySettings replaces the settings for requests accepted from now on. Exchanges in progress keep theirs.
+// ApplySettings replaces the settings. Exchanges in progress keep the class settings that they started with.
 func (d *Driver) ApplySettings(config *balance.Config) {
 	d.classes = config.Classes
 	d.balancer.OnSettings(d.now(), config)
 	d.executeActions()
 }
 
-// ClassInUse reports whether an exchange of a class is in progress or has attempts in flight.
+// ClassInUse reports whether any exchange of a class is in progress or has attempts in flight.
 func (d *Driver) ClassInUse(class uint8) bool {
 	for _, x := range d.exchanges {
 		if x.Class == class {
@@ -101,14 +103,15 @@
 	return false
 }
 
-// InProgress returns the number of exchanges without a final response.
+// InProgress returns the number of exchanges that have not ended.
 func (d *Driver) InProgress() int { return d.Counts().InProgress() }
 
 // Exchanges returns the number of exchanges that are in progress or have attempts in flight.
 func (d *Driver) Exchanges() int { return len(d.exchanges) }
 
-// AttemptsInFlight returns the number of attempts whose time-out is pending: all but those whose response is streamed.
+// AttemptsInFlight returns the number of attempts in flight, without those whose response is being streamed to the
+// client. These have no timeout.
 func (d *Driver) AttemptsInFlight() int { return len(d.attemptTimeouts) }
 
-// PendingTimers returns the number of the Balancer's own timers that are pending.
+// PendingTimers returns the number of pending timers that the Balancer has set.
 func (d *Driver) PendingTimers() int { return d.balancerTimers }
--- a/internal/driver/endpoints.go
+++ b/internal/driver/endpoints.go
@@ -7,8 +7,9 @@
 	"salttrack/balance"
 )
 
-// UpdateEndpoints applies an update of the endpoint list. Attempts that wait for a connection to an upstream which is
-// no longer ready are not sent: the connection may be established long after the upstream started to drain.
+// UpdateEndpoints applies an update of the endpoint list. It cancels the attempts that are waiting for a connection to
+// an upstream that is no longer ready, because the connection could be established long after the upstream has started
+// to drain.
 func (d *Driver) UpdateEndpoints(update balance.EndpointUpdate) {
 	d.counters.endpointUpdates.Inc()
 	readyBefore := slices.Sorted(maps.Keys(d.ready))
@@ -31,8 +32,8 @@
 	}
 }
 
-// Disable stops sending to an upstream until Enable, whatever the endpoint list says. Attempts that wait for a
-// connection to it are not sent.
+// Disable excludes an upstream from receiving requests until Enable is called, whatever its state in the endpoint list.
+// It cancels the attempts that are waiting for a connection to the upstream.
 func (d *Driver) Disable(id balance.UpstreamID) {
 	d.disabled[id] = true
 	d.balancer.OnDisable(d.now(), id)
@@ -40,12 +41,12 @@
 	d.upstreams.CancelUnsent(id)
 }
 
-// Enable ends the effect of Disable.
+// Enable reverses Disable.
 func (d *Driver) Enable(id balance.UpstreamID) {
 	delete(d.disabled, id)
 	d.balancer.OnEnable(d.now(), id)
 	d.executeActions()
 }
 
-// upstreamSendable reports whether anything may be sent to an upstream, by the endpoint list and by the operators.
-func (d *Driver) upstreamSendable(id balance.UpstreamID) bool { return d.ready[id] && !d.disabled[id] }
+// upstreamUsable reports whether an upstream is ready according to the endpoint list and not disabled by an operator.
+func (d *Driver) upstreamUsable(id balance.UpstreamID) bool { return d.ready[id] && !d.disabled[id] }
--- a/internal/driver/endpoints_test.go
+++ b/internal/driver/endpoints_test.go
@@ -8,26 +8,26 @@
 	"salttrack/internal/exchange"
 )
 
-// Attempts that wait for a connection to a disabled upstream are not sent, and nothing is sent to it until it is
-// enabled.
+// When an upstream is disabled, attempts that are waiting for a connection to it are cancelled, and no request is
+// forwarded to it until it is enabled again.
 func TestDisable(t *testing.T) {
 	f := newFixture(t, testConfig())
 	ids := []balance.UpstreamID{1, 2, 3}
 	for _, id := range ids {
 		f.driver.Disable(id)
 	}
-	x := f.accept(idempotentClass, 500)
+	x := f.receive(idempotentClass, 500)
 	if len(f.inFlight) != 0 || !slices.Equal(f.cancelUnsent, ids) || f.responses[x][0].Disposition != exchange.Rejected {
-		t.Errorf("%d attempts sent, unsent ones cancelled of %v, responses %v", len(f.inFlight), f.cancelUnsent, f.responses[x])
+		t.Errorf("%d attempts sent, CancelUnsent called for upstreams %v, responses %v", len(f.inFlight), f.cancelUnsent, f.responses[x])
 	}
 	f.driver.Enable(2)
-	if f.accept(idempotentClass, 500); len(f.inFlight) != 1 || f.inFlight[0].Upstream != 2 {
-		t.Errorf("attempts %v after upstream 2 was enabled", f.inFlight)
+	if f.receive(idempotentClass, 500); len(f.inFlight) != 1 || f.inFlight[0].Upstream != 2 {
+		t.Errorf("attempts in flight after upstream 2 was enabled: %v", f.inFlight)
 	}
 }
 
-// drainingUpdate returns an update after which an upstream is not ready: a delta in which it drains, or a snapshot
-// without it.
+// drainingUpdate returns an update that makes an upstream unready. The form "delta" marks it as draining, the form
+// "snapshot" lists only the other upstreams.
 func drainingUpdate(id balance.UpstreamID, form string) balance.EndpointUpdate {
 	if form == "delta" {
 		return balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: id, State: balance.Draining}}}
@@ -41,21 +41,21 @@
 	return update
 }
 
-// An attempt that waits for a connection to an upstream is not sent if the upstream starts to drain, or is missing in
-// a snapshot: the connection may be established much later. The request goes to another upstream, which costs nothing
-// of the retry budget since nothing was sent.
+// An attempt that is waiting for a connection is cancelled if its upstream starts to drain or is missing from a
+// snapshot, because the connection could be established much later. The request is then forwarded to another upstream.
+// This does not use the retry budget, since nothing was sent.
 func TestDrainWhileConnecting(t *testing.T) {
 	for _, form := range []string{"delta", "snapshot"} {
 		f := newFixture(t, testConfig())
-		x := f.accept(idempotentClass, 500)
+		x := f.receive(idempotentClass, 500)
 		first := f.inFlight[0]
 		f.onCancelUnsent = func() { f.end(first, balance.NotSent, "") }
 		if !f.driver.Sendable(first) {
-			t.Errorf("%s: not sendable before the update", form)
+			t.Errorf("%s: the attempt is not sendable before the update", form)
 		}
 		f.driver.UpdateEndpoints(drainingUpdate(first.Upstream, form))
 		if f.driver.Sendable(first) || !slices.Equal(f.cancelUnsent, []balance.UpstreamID{first.Upstream}) {
-			t.Errorf("%s: unsent attempts cancelled of %v, want %d", form, f.cancelUnsent, first.Upstream)
+			t.Errorf("%s: CancelUnsent called for upstreams %v, want %d", form, f.cancelUnsent, first.Upstream)
 		}
 		if len(f.inFlight) != 1 || f.inFlight[0].Upstream == first.Upstream || len(f.responses[x]) != 0 {
 			t.Fatalf("%s: %d attempts in flight, %d responses", form, len(f.inFlight), len(f.responses[x]))
--- a/internal/driver/events.go
+++ b/internal/driver/events.go
@@ -8,7 +8,7 @@
 	"salttrack/internal/trace"
 )
 
-// RequestArrived passes a new request to the Balancer. The response may be sent before RequestArrived returns.
+// RequestArrived reports a new request to the Balancer. The final response may be sent before RequestArrived returns.
 func (d *Driver) RequestArrived(x *exchange.Exchange) {
 	x.ID = d.nextRequestID()
 	d.exchanges[x.ID] = x
@@ -26,7 +26,7 @@
 	d.executeActions()
 }
 
-// nextRequestID returns an id that no exchange has. Ids wrap around after 2^32 requests; 0 is not used.
+// nextRequestID returns an id that no current exchange has. Ids wrap around after 2^32 requests. 0 is not used.
 func (d *Driver) nextRequestID() balance.RequestID {
 	d.lastRequestID++
 	for d.lastRequestID == 0 || d.exchanges[d.lastRequestID] != nil {
@@ -35,7 +35,8 @@
 	return d.lastRequestID
 }
 
-// RequestComplete reports that an accepted request has been received completely. Its deadline counts from now on.
+// RequestComplete reports that the last byte of a request has been received, for a request that was incomplete when it
+// arrived. The caller must have set x.RespondBy, which becomes the timeout of the attempts in flight.
 func (d *Driver) RequestComplete(x *exchange.Exchange) {
 	x.BodyIncomplete = false
 	x.RespondBy = min(x.RespondBy, d.shutdownDeadline)
@@ -52,27 +53,30 @@
 	d.executeActions()
 }
 
-// ClientDisconnected reports that the client of an exchange has disconnected.
+// ClientDisconnected reports that the client of an exchange has disconnected, or that the rest of its request body was
+// rejected. The exchange ends as abandoned.
 func (d *Driver) ClientDisconnected(x *exchange.Exchange) {
 	if d.finish(x, exchange.Response{Disposition: exchange.Abandoned}) {
 		d.concludeRequest(x.ID)
 	}
 }
 
-// concludeRequest reports to the Balancer that a request needs no response any more.
+// concludeRequest reports to the Balancer that a request no longer needs a response.
 func (d *Driver) concludeRequest(id balance.RequestID) {
 	d.balancer.OnRequestConcluded(d.now(), id)
 	d.executeActions()
 }
 
-// Sendable reports whether an attempt that waited for its connection may still be sent. Meanwhile the client may have
-// disconnected, another attempt may have ended the exchange, and the upstream may have started to drain.
+// Sendable reports whether an attempt may still be sent now that its connection is established. While the attempt was
+// waiting, the client may have disconnected, another attempt may have ended the exchange, or the upstream may have
+// started to drain.
 func (d *Driver) Sendable(a *exchange.Attempt) bool {
-	return d.upstreamSendable(a.Upstream) && a.Exchange.Sendable()
+	return d.upstreamUsable(a.Upstream) && a.Exchange.Sendable()
 }
 
-// ResponseStarted reports that an upstream has started a response too long to be buffered. It is streamed to the
-// client as it is received, so it is the final response, and the attempt has no time-out from now on.
+// ResponseStarted reports that an upstream has started a response that is too long to be buffered. The response is
+// streamed to the client while it is being received. It is therefore the final response, and the timeout of the attempt
+// is removed.
 func (d *Driver) ResponseStarted(a *exchange.Attempt, body *bodystream.Stream) {
 	x := a.Exchange
 	if a.Ended {
@@ -90,7 +94,7 @@
 	d.executeActions()
 }
 
-// AttemptEnded reports how an attempt ended. Only the first report on an attempt has an effect.
+// AttemptEnded reports how an attempt ended. Only the first call for an attempt has an effect.
 func (d *Driver) AttemptEnded(a *exchange.Attempt, result exchange.Result) {
 	x := a.Exchange
 	if !x.EndAttempt(a, result.Outcome.NeverRan()) {
@@ -112,10 +116,11 @@
 		ReportedInFlight: result.ReportedInFlight,
 	})
 	d.executeActions()
-	d.forget(x)
+	d.removeFinished(x)
 }
 
-// respondWithResult ends the exchange if an attempt has a response for the client, without a decision of the Balancer.
+// respondWithResult ends the exchange if the result of an attempt determines the final response. No decision of the
+// Balancer is needed in that case.
 func (d *Driver) respondWithResult(x *exchange.Exchange, result *exchange.Result) {
 	switch result.Outcome {
 	case balance.OK:
@@ -125,7 +130,8 @@
 	}
 }
 
-// finish ends an exchange with its final response, and reports whether it was in progress.
+// finish ends an exchange with its final response. It reports false, without any effect, if the exchange has already
+// ended.
 func (d *Driver) finish(x *exchange.Exchange, response exchange.Response) bool {
 	if !x.Respond(response) {
 		return false
@@ -135,18 +141,19 @@
 		d.counters.lateResponses.Inc()
 	}
 	d.counters.countResponse(response.Disposition)
-	d.forget(x)
+	d.removeFinished(x)
 	return true
 }
 
-// forget removes an exchange that has ended and has no attempt in flight.
-func (d *Driver) forget(x *exchange.Exchange) {
+// removeFinished removes an exchange if it has ended and has no attempts in flight.
+func (d *Driver) removeFinished(x *exchange.Exchange) {
 	if x.Finished() && d.exchanges[x.ID] == x {
 		delete(d.exchanges, x.ID)
-		invariant.Check(len(d.exchanges) >= d.InProgress(), "every exchange in progress is known")
+		invariant.Check(len(d.exchanges) >= d.InProgress(), "the driver holds every exchange in progress")
 	}
 }
 
+// traceAttemptEnded writes a trace event for the end of an attempt. Attempts are counted from 1 in the trace.
 func (d *Driver) traceAttemptEnded(a *exchange.Attempt, outcome balance.Outcome) {
 	if !d.tracer.Enabled() {
 		return
@@ -160,6 +167,7 @@
 	})
 }
 
+// traceResponse writes a trace event for the end of an exchange.
 func (d *Driver) traceResponse(x *exchange.Exchange, response *exchange.Response) {
 	if !d.tracer.Enabled() {
 		return
--- a/internal/driver/helpers_test.go
+++ b/internal/driver/helpers_test.go
@@ -9,20 +9,20 @@
 	"salttrack/internal/timer"
 )
 
-// Classes of testConfig.
+// Class numbers of testConfig.
 const (
 	idempotentClass    = 0
 	nonIdempotentClass = 1
-	zoneKeyClass       = 2 // idempotent by a key within a zone
+	zoneKeyClass       = 2 // requests with an idempotency key; upstreams of the same zone deduplicate them
 )
 
-// Upstreams that are ready at the start of a test.
+// The upstreams with ids from firstUpstream to lastUpstream are ready at the start of a test.
 const (
 	firstUpstream = 1
 	lastUpstream  = 3
 )
 
-// fixture is a driver with a fake clock. It is also the driver's Upstreams and the client of its exchanges.
+// fixture holds a driver with a fake clock. It implements the driver's Upstreams and the client of every exchange.
 type fixture struct {
 	t        *testing.T
 	driver   *Driver
@@ -31,16 +31,16 @@
 	counters counter.Set
 
 	inFlight     []*exchange.Attempt
-	cancelled    []*exchange.Attempt
-	cancelUnsent []balance.UpstreamID // calls
+	cancelled    []*exchange.Attempt  // arguments of the calls of Cancel
+	cancelUnsent []balance.UpstreamID // arguments of the calls of CancelUnsent
 	responses    map[*exchange.Exchange][]exchange.Response
-	disconnected bool // all clients are, and Connected finds it
+	disconnected bool // whether all clients have disconnected; the driver learns of it when it calls Connected
 
-	onStart        func(*exchange.Attempt) // replaces Start
-	onCancelUnsent func()
+	onStart        func(*exchange.Attempt) // called in place of Start's normal behavior unless nil
+	onCancelUnsent func()                  // called by CancelUnsent unless nil
 }
 
-// newFixture returns a fixture with three ready upstreams.
+// newFixture returns a fixture whose driver has been started and has three ready upstreams.
 func newFixture(t *testing.T, config balance.Config) *fixture {
 	t.Helper()
 	f := &fixture{t: t, now: 1e12, responses: map[*exchange.Exchange][]exchange.Response{}}
@@ -61,6 +61,7 @@
 	return f
 }
 
+// testConfig returns a configuration with one class of each kind of idempotency.
 func testConfig() balance.Config {
 	return balance.Config{
 		Replicas: 1, TierCount: 1, Granularity: 5,
@@ -75,7 +76,7 @@
 	}
 }
 
-// Start implements Upstreams: the request is written at once, and the attempt stays in flight.
+// Start implements Upstreams. It marks the request as written completely and keeps the attempt in flight.
 func (f *fixture) Start(a *exchange.Attempt) {
 	if f.onStart != nil {
 		f.onStart(a)
@@ -85,7 +86,7 @@
 	f.inFlight = append(f.inFlight, a)
 }
 
-// CancelUnsent implements Upstreams.
+// CancelUnsent implements Upstreams. It records the call.
 func (f *fixture) CancelUnsent(id balance.UpstreamID) {
 	f.cancelUnsent = append(f.cancelUnsent, id)
 	if f.onCancelUnsent != nil {
@@ -93,13 +94,13 @@
 	}
 }
 
-// Cancel implements Upstreams.
+// Cancel implements Upstreams. It records the call and removes the attempt from those in flight.
 func (f *fixture) Cancel(a *exchange.Attempt) {
 	f.cancelled = append(f.cancelled, a)
 	f.remove(a)
 }
 
-// Connected implements exchange.Client.
+// Connected implements exchange.Client. It reports a disconnection to the driver before it returns false.
 func (f *fixture) Connected(x *exchange.Exchange) bool {
 	if f.disconnected {
 		f.driver.ClientDisconnected(x)
@@ -107,7 +108,7 @@
 	return !f.disconnected
 }
 
-// Respond implements exchange.Client.
+// Respond implements exchange.Client. It records the response.
 func (f *fixture) Respond(x *exchange.Exchange, r exchange.Response) {
 	f.responses[x] = append(f.responses[x], r)
 }
@@ -122,8 +123,8 @@
 	}
 }
 
-// accept has the driver accept a request whose deadline is so much later.
-func (f *fixture) accept(class uint8, deadline balance.Millis) *exchange.Exchange {
+// receive reports a new request whose response is due after the given time in ms. The client stops waiting 10 ms later.
+func (f *fixture) receive(class uint8, deadline balance.Millis) *exchange.Exchange {
 	x := exchange.New(f, nil)
 	x.Class = class
 	x.RespondBy = f.now + deadline
@@ -132,22 +133,22 @@
 	return x
 }
 
-// end reports the end of an attempt.
+// end reports the end of an attempt to the driver.
 func (f *fixture) end(a *exchange.Attempt, outcome balance.Outcome, body string) {
 	f.remove(a)
 	f.driver.AttemptEnded(a, exchange.Result{Outcome: outcome, Body: []byte(body)})
 }
 
-// serve accepts requests and serves each at once, which earns a budget for retries.
+// serve sends a number of requests through the driver and lets each succeed at once, which fills the retry budget.
 func (f *fixture) serve(requests int) {
 	f.t.Helper()
 	for range requests {
-		f.accept(idempotentClass, 1000)
+		f.receive(idempotentClass, 1000)
 		f.end(f.inFlight[0], balance.OK, "")
 	}
 }
 
-// advance advances the clock and runs the timers that are due on the way.
+// advance advances the clock by a duration in ms and runs each timer that becomes due at its own time.
 func (f *fixture) advance(duration balance.Millis) {
 	for end := f.now + duration; f.now < end; {
 		due, ok := f.timers.Next()
@@ -169,7 +170,7 @@
 	return v
 }
 
-// disposition returns the disposition of an exchange's only response, or InProgress if it has not exactly one.
+// disposition returns the disposition of the response to an exchange, or InProgress if the number of responses is not 1.
 func (f *fixture) disposition(x *exchange.Exchange) exchange.Disposition {
 	if len(f.responses[x]) != 1 {
 		return exchange.InProgress
--- a/internal/driver/invariants_test.go
+++ b/internal/driver/invariants_test.go
@@ -9,26 +9,26 @@
 	"salttrack/internal/invariant"
 )
 
-// randomRun applies random events to a driver.
+// randomRun drives a fixture with random events.
 type randomRun struct {
 	*fixture
 	random    *rand.Rand
-	accepted  []*exchange.Exchange
-	abandoned map[*exchange.Exchange]bool
+	received  []*exchange.Exchange
+	abandoned map[*exchange.Exchange]bool // exchanges whose client disconnected while they were in progress
 }
 
-// step applies one event and advances the clock a little.
+// step applies one random event and advances the clock by less than 20 ms.
 func (r *randomRun) step() {
 	switch k := r.random.IntN(10); {
 	case k < 4:
 		class := uint8(r.random.IntN(3))
-		r.accepted = append(r.accepted, r.accept(class, balance.Millis(r.random.IntN(3000))))
+		r.received = append(r.received, r.receive(class, balance.Millis(r.random.IntN(3000))))
 	case k < 8 && len(r.inFlight) > 0:
 		a := r.inFlight[r.random.IntN(len(r.inFlight))]
 		a.RequestComplete = r.random.IntN(4) > 0
 		r.end(a, balance.Outcome(r.random.IntN(int(balance.Cancelled))), "")
-	case k == 8 && len(r.accepted) > 0:
-		x := r.accepted[r.random.IntN(len(r.accepted))]
+	case k == 8 && len(r.received) > 0:
+		x := r.received[r.random.IntN(len(r.received))]
 		r.abandoned[x] = r.abandoned[x] || x.Disposition() == exchange.InProgress
 		r.driver.ClientDisconnected(x)
 	default:
@@ -39,22 +39,23 @@
 	r.advance(balance.Millis(r.random.IntN(20)))
 }
 
-// checkSum checks that the accepted requests are those that ended and those in progress.
+// checkSum checks that the number of requests received is the number that ended plus the number in progress.
 func (r *randomRun) checkSum() {
 	r.t.Helper()
 	sum := r.value("requests_served") + r.value("requests_rejected") + r.value("requests_failed") +
 		r.value("requests_abandoned") + r.value("requests_in_progress")
 	if r.value("requests_accepted") != sum {
-		r.t.Fatalf("%d requests accepted, %d accounted for", r.value("requests_accepted"), sum)
+		r.t.Fatalf("%d requests received, sum of the others is %d", r.value("requests_accepted"), sum)
 	}
 }
 
-// checkEnd checks that every request has one response, or none if it was abandoned, and that nothing is kept.
+// checkEnd checks that every request has one response, or none if it was abandoned, and that the driver holds no exchange
+// and no timeout.
 func (r *randomRun) checkEnd() {
 	r.t.Helper()
-	for _, x := range r.accepted {
+	for _, x := range r.received {
 		if n := len(r.responses[x]); n != 1 && !r.abandoned[x] || n > 0 && r.abandoned[x] {
-			r.t.Fatalf("%d responses, abandoned %v", n, r.abandoned[x])
+			r.t.Fatalf("%d responses to a request, abandoned: %v", n, r.abandoned[x])
 		}
 	}
 	ended := uint64(0)
@@ -62,15 +63,15 @@
 		ended += r.value(attemptsEndedPrefix + name)
 	}
 	if inProgress := r.value("requests_in_progress"); inProgress != 0 || len(r.driver.exchanges) != 0 || len(r.driver.attemptTimeouts) != 0 {
-		r.t.Errorf("%d requests in progress, %d exchanges kept, %d time-outs pending", inProgress, len(r.driver.exchanges), len(r.driver.attemptTimeouts))
+		r.t.Errorf("%d requests in progress, %d exchanges and %d timeouts left in the driver", inProgress, len(r.driver.exchanges), len(r.driver.attemptTimeouts))
 	}
 	if ended != r.value("attempts")+r.value("attempts_ended_not_sent") {
 		r.t.Errorf("%d attempts, %d not sent, %d ended", r.value("attempts"), r.value("attempts_ended_not_sent"), ended)
 	}
 }
 
-// Whatever happens in whatever order, each request gets one response or is abandoned, nothing is kept afterwards, and
-// the counters add up at any time.
+// After random events in random order, each request has one response or was abandoned, the driver holds no exchange and
+// no timeout, and the counters have been consistent after every event.
 func TestCountersAddUp(t *testing.T) {
 	for seed := range uint64(20) {
 		config := testConfig()
@@ -88,22 +89,25 @@
 		r.advance(10000)
 		r.checkEnd()
 		if invariant.Violations() != before {
-			t.Error("an invariant is violated")
+			t.Error("an invariant was violated")
 		}
 	}
 }
 
+// executeForward returns a function that executes a ForwardRequest to an upstream, whatever the Balancer decided.
 func executeForward(upstream balance.UpstreamID) func(*fixture, *exchange.Exchange) {
 	return func(f *fixture, x *exchange.Exchange) {
 		f.driver.execute(&balance.ForwardRequest{Request: x.ID, Upstream: upstream})
 	}
 }
 
+// executeReject executes a RejectRequest, whatever the Balancer decided.
 func executeReject(f *fixture, x *exchange.Exchange) {
 	f.driver.execute(&balance.RejectRequest{Request: x.ID})
 }
 
-// The Balancer's decisions keep the rules. If one broke a rule, the driver would report the violation.
+// The driver reports a violated invariant if an action would retry or reject a request unsafely, or would send it to an
+// unusable upstream. The Balancer does not decide on such actions, so the test executes them directly.
 func TestViolationsAreReported(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -121,7 +125,7 @@
 	} {
 		f := newFixture(t, testConfig())
 		f.driver.UpdateEndpoints(balance.EndpointUpdate{Endpoints: []balance.Endpoint{{ID: 4, State: balance.Draining}}})
-		x := f.accept(tt.class, 1000)
+		x := f.receive(tt.class, 1000)
 		before := invariant.Violations()
 		func() {
 			defer func() {
--- a/internal/driver/requests_test.go
+++ b/internal/driver/requests_test.go
@@ -9,70 +9,71 @@
 
 func TestServed(t *testing.T) {
 	f := newFixture(t, testConfig())
-	x := f.accept(idempotentClass, 1000)
+	x := f.receive(idempotentClass, 1000)
 	f.advance(20)
 	f.end(f.inFlight[0], balance.OK, "body")
 	if f.disposition(x) != exchange.Served || string(f.responses[x][0].Body) != "body" {
 		t.Errorf("responses %+v", f.responses[x])
 	}
 	if len(f.driver.exchanges) != 0 || len(f.driver.attemptTimeouts) != 0 {
-		t.Errorf("%d exchanges and %d time-outs are kept", len(f.driver.exchanges), len(f.driver.attemptTimeouts))
+		t.Errorf("%d exchanges and %d timeouts left in the driver", len(f.driver.exchanges), len(f.driver.attemptTimeouts))
 	}
 }
 
 func TestClientDisconnects(t *testing.T) {
 	f := newFixture(t, testConfig())
-	x := f.accept(idempotentClass, 1000)
+	x := f.receive(idempotentClass, 1000)
 	a := f.inFlight[0]
 	f.driver.ClientDisconnected(x)
 	f.driver.ClientDisconnected(x)
 	if len(f.responses[x]) != 0 || len(f.cancelled) != 1 || f.value("requests_abandoned") != 1 || f.value("attempts_ended_cancelled") != 1 {
 		t.Errorf("%d responses, %d attempts cancelled, %d requests abandoned", len(f.responses[x]), len(f.cancelled), f.value("requests_abandoned"))
 	}
-	f.driver.AttemptEnded(a, exchange.Result{Outcome: balance.OK}) // crosses the cancellation
+	f.driver.AttemptEnded(a, exchange.Result{Outcome: balance.OK}) // the response arrives while the attempt is being cancelled
 	if f.value("requests_served") != 0 || len(f.driver.exchanges) != 0 {
-		t.Error("a request whose client disconnected counts as served")
+		t.Error("a request whose client disconnected is counted as served or not removed")
 	}
 }
 
-// The end of a client's connection may have been received without being handled yet. Nothing is sent then, neither a
-// first attempt nor a retry.
+// A client may have closed its connection without the driver having been told yet. The driver then sends neither a first
+// attempt nor a retry, since it asks the client whether it is connected before it sends.
 func TestNothingIsSentForDisconnectedClient(t *testing.T) {
 	f := newFixture(t, testConfig())
 	f.disconnected = true
-	if x := f.accept(idempotentClass, 500); len(f.inFlight) != 0 || x.Disposition() != exchange.Abandoned {
+	if x := f.receive(idempotentClass, 500); len(f.inFlight) != 0 || x.Disposition() != exchange.Abandoned {
 		t.Errorf("%d attempts sent, disposition %v", len(f.inFlight), x.Disposition())
 	}
 	f.disconnected = false
 	f.serve(40)
-	x := f.accept(idempotentClass, 500)
+	x := f.receive(idempotentClass, 500)
 	f.disconnected = true
 	f.end(f.inFlight[0], balance.ConnectFailed, "")
 	if len(f.inFlight) != 0 || f.value("retries") != 0 || x.Disposition() != exchange.Abandoned {
 		t.Errorf("%d retries sent, disposition %v", len(f.inFlight), x.Disposition())
 	}
 	if n := f.value("requests_abandoned"); n != 2 || f.driver.Exchanges() != 0 {
-		t.Errorf("%d requests abandoned, %d exchanges kept", n, f.driver.Exchanges())
+		t.Errorf("%d requests abandoned, %d exchanges left in the driver", n, f.driver.Exchanges())
 	}
 }
 
-// An action that is executed after the client disconnected sends nothing.
+// A ForwardRequest that is executed after the client has disconnected sends nothing and is counted as not sent.
 func TestNotSentAfterClientDisconnected(t *testing.T) {
 	f := newFixture(t, testConfig())
-	x := f.accept(idempotentClass, 1000)
+	x := f.receive(idempotentClass, 1000)
 	f.driver.ClientDisconnected(x)
-	f.driver.exchanges[x.ID] = x // as it is while other attempts are in flight
+	f.driver.exchanges[x.ID] = x // the driver keeps the exchange while other attempts are in flight
 	f.driver.execute(&balance.ForwardRequest{Request: x.ID, Upstream: 2})
 	if len(f.inFlight) != 0 || f.value("attempts_ended_not_sent") != 1 {
 		t.Errorf("%d attempts sent, %d counted as not sent", len(f.inFlight), f.value("attempts_ended_not_sent"))
 	}
 }
 
-// An attempt that ends while it is being started must not reach the Balancer in the middle of its actions.
+// If an attempt ends while it is being started, the actions that follow from its end must wait until the current action
+// has been executed.
 func TestAttemptEndsWhileStarting(t *testing.T) {
 	f := newFixture(t, testConfig())
-	for range 30 { // earns a budget for retries
-		f.accept(idempotentClass, 1000)
+	for range 30 { // fills the retry budget
+		f.receive(idempotentClass, 1000)
 		f.advance(10)
 		f.end(f.inFlight[0], balance.OK, "")
 	}
@@ -81,29 +82,30 @@
 		upstreams = append(upstreams, a.Upstream)
 		f.driver.AttemptEnded(a, exchange.Result{Outcome: balance.ConnectFailed})
 	}
-	x := f.accept(nonIdempotentClass, 1000)
+	x := f.receive(nonIdempotentClass, 1000)
 	if len(upstreams) < 2 || upstreams[0] == upstreams[1] || f.disposition(x) != exchange.Rejected {
 		t.Errorf("attempts at %v, responses %+v", upstreams, f.responses[x])
 	}
 	_, more := f.driver.balancer.NextAction()
 	if f.driver.executing || more || len(f.driver.exchanges) != 0 {
-		t.Error("actions or exchanges remain")
+		t.Error("actions or exchanges are left in the driver")
 	}
 }
 
-// A request that an upstream finds invalid fails at once: it is not retried, and the upstream is not blamed.
+// A request that an upstream finds invalid fails at once. It is not retried, and does not count as a failure of the
+// upstream.
 func TestInvalidRequest(t *testing.T) {
 	f := newFixture(t, testConfig())
-	f.serve(20) // enough for a retry and for throttling to apply
+	f.serve(20) // fills the retry budget and provides the samples that throttling needs
 	for range 30 {
-		x := f.accept(idempotentClass, 1000)
+		x := f.receive(idempotentClass, 1000)
 		f.end(f.inFlight[0], balance.InvalidRequest, "")
 		if f.disposition(x) != exchange.Failed || !f.responses[x][0].InvalidRequest || len(f.inFlight) != 0 {
 			t.Fatalf("responses %+v, %d attempts in flight", f.responses[x], len(f.inFlight))
 		}
 	}
 	for range 20 {
-		x := f.accept(nonIdempotentClass, 1000)
+		x := f.receive(nonIdempotentClass, 1000)
 		if len(f.inFlight) != 1 {
 			t.Fatalf("the next request was not sent: %+v", f.responses[x])
 		}
@@ -116,11 +118,11 @@
 
 func TestLateResponsesAreCounted(t *testing.T) {
 	f := newFixture(t, testConfig())
-	f.accept(idempotentClass, 100)
-	f.now += 200 // as if the process had not been scheduled
+	f.receive(idempotentClass, 100)
+	f.now += 200 // simulates that the process was not scheduled for 200 ms
 	f.timers.Run(f.now)
-	f.accept(idempotentClass, 100)
-	f.advance(105) // before the client's own deadline
+	f.receive(idempotentClass, 100)
+	f.advance(105) // after the deadline of the response, before the client's own deadline
 	if f.value("responses_late") != 1 || f.value("requests_failed")+f.value("requests_rejected") != 2 {
 		t.Errorf("%d late responses, want 1", f.value("responses_late"))
 	}
--- a/internal/driver/shutdown.go
+++ b/internal/driver/shutdown.go
@@ -8,19 +8,19 @@
 	"salttrack/internal/exchange"
 )
 
-// reasonShutdownDeadline is the one reason for which the driver itself ends an exchange. All other reasons come from
-// the Balancer.
+// reasonShutdownDeadline is the reason of the responses that the driver sends at the shutdown deadline. The reasons of
+// all other responses are set by the Balancer.
 const reasonShutdownDeadline balance.GiveUpReason = "shutdown deadline reached"
 
-// SetShutdownDeadline sets the shutdown deadline: every exchange, in progress or accepted later, has its final response by then.
-// A later call can only make the deadline earlier.
+// SetShutdownDeadline sets the time by which every exchange, whether in progress or started later, has its final
+// response. Further calls can make this deadline earlier but not later.
 func (d *Driver) SetShutdownDeadline(deadline balance.Millis) {
 	if deadline >= d.shutdownDeadline {
 		return
 	}
 	d.shutdownDeadline = deadline
 	d.timers.Stop(d.shutdownTimer)
-	d.shutdownTimer = d.timers.Set(deadline, d.endAll)
+	d.shutdownTimer = d.timers.Set(deadline, d.endAllExchanges)
 	for _, id := range slices.Sorted(maps.Keys(d.exchanges)) {
 		if x := d.exchanges[id]; x != nil && x.Disposition() == exchange.InProgress && x.RespondBy > deadline {
 			d.shortenDeadline(x, deadline)
@@ -28,7 +28,8 @@
 	}
 }
 
-// shortenDeadline sets an earlier deadline for an exchange in progress and its attempts in flight.
+// shortenDeadline sets an earlier deadline for the response of an exchange in progress, and shortens the timeouts of its
+// attempts in flight accordingly.
 func (d *Driver) shortenDeadline(x *exchange.Exchange, deadline balance.Millis) {
 	x.RespondBy = deadline
 	for _, a := range x.Attempts {
@@ -41,8 +42,9 @@
 	d.executeActions()
 }
 
-// endAll ends every exchange in progress at the shutdown deadline.
-func (d *Driver) endAll() {
+// endAllExchanges ends every exchange in progress when the shutdown deadline is reached. A request that was never
+// executed is rejected; any other one fails.
+func (d *Driver) endAllExchanges() {
 	for _, id := range slices.Sorted(maps.Keys(d.exchanges)) {
 		x := d.exchanges[id]
 		if x == nil || x.Disposition() != exchange.InProgress {
--- a/internal/driver/shutdown_test.go
+++ b/internal/driver/shutdown_test.go
@@ -6,8 +6,8 @@
 	"salttrack/internal/exchange"
 )
 
-// acceptIncomplete has the driver accept a request whose body is still being received.
-func (f *fixture) acceptIncomplete(class uint8) *exchange.Exchange {
+// receiveIncomplete reports a new request whose body is still being received.
+func (f *fixture) receiveIncomplete(class uint8) *exchange.Exchange {
 	x := exchange.New(f, nil)
 	x.Class = class
 	x.BodyIncomplete = true
@@ -17,19 +17,20 @@
 	return x
 }
 
-// At the shutdown deadline every request has its response, whether it was accepted before or after the shutdown began
-// and whether it is received completely. Those that never ran are rejected, the others fail, and attempts are cancelled.
-func TestRespondBy(t *testing.T) {
+// At the shutdown deadline every request gets its final response, whether it arrived before or after the shutdown began
+// and whether or not its body has been received completely. Requests that were never executed are rejected, the others
+// fail, and all attempts are cancelled.
+func TestShutdownDeadline(t *testing.T) {
 	for _, class := range []uint8{idempotentClass, nonIdempotentClass, zoneKeyClass} {
 		f := newFixture(t, testConfig())
-		before := f.accept(class, 3000)
+		before := f.receive(class, 3000)
 		deadline := f.now + 400
 		f.driver.SetShutdownDeadline(deadline)
 		f.driver.SetShutdownDeadline(deadline + 500) // no effect
 		exchanges := map[string]*exchange.Exchange{
-			"accepted before":     before,
-			"accepted after":      f.accept(class, 3000),
-			"received incomplete": f.acceptIncomplete(class),
+			"arrived before":  before,
+			"arrived after":   f.receive(class, 3000),
+			"incomplete body": f.receiveIncomplete(class),
 		}
 		f.now = deadline - 1
 		f.timers.Run(f.now)
@@ -56,12 +57,12 @@
 	}
 }
 
-// A request in the admission queue is rejected by the shutdown deadline: nothing has run.
-func TestRespondByWhileQueued(t *testing.T) {
+// A request that is still in the admission queue at the shutdown deadline is rejected, since it was never executed.
+func TestShutdownDeadlineWhileQueued(t *testing.T) {
 	f := newFixture(t, testConfig())
 	var queued *exchange.Exchange
 	for range 40 {
-		if x := f.accept(idempotentClass, 2000); len(x.Attempts) == 0 && len(f.responses[x]) == 0 {
+		if x := f.receive(idempotentClass, 2000); len(x.Attempts) == 0 && len(f.responses[x]) == 0 {
 			queued = x
 			break
 		}
--- a/internal/driver/timeouts_test.go
+++ b/internal/driver/timeouts_test.go
@@ -6,8 +6,8 @@
 	"salttrack/internal/exchange"
 )
 
-// A time-out before the request was written completely proves that it never ran. A later one proves nothing, and then
-// a non-idempotent request must not be rejected as safe to repeat.
+// A timeout before the request was written completely proves that the request was never executed. A later timeout does
+// not, so a non-idempotent request must then fail: a rejection would tell the client that a retry is safe.
 func TestTimeout(t *testing.T) {
 	for _, tt := range []struct {
 		requestComplete bool
@@ -18,7 +18,7 @@
 		{false, "attempts_ended_connect_failed", exchange.Rejected},
 	} {
 		f := newFixture(t, testConfig())
-		x := f.accept(nonIdempotentClass, 600)
+		x := f.receive(nonIdempotentClass, 600)
 		f.inFlight[0].RequestComplete = tt.requestComplete
 		f.advance(1000)
 		if f.disposition(x) != tt.want || f.value(tt.counter) != 1 || len(f.cancelled) != 1 {
@@ -30,12 +30,12 @@
 
 func TestTimeoutIsNotLaterThanDeadline(t *testing.T) {
 	f := newFixture(t, testConfig())
-	f.accept(idempotentClass, 300)
+	f.receive(idempotentClass, 300)
 	if a := f.inFlight[0]; a.TimeoutAt != f.now+300 {
-		t.Errorf("time-out after %.0f ms, deadline after 300 ms", a.TimeoutAt-f.now)
+		t.Errorf("timeout after %.0f ms, deadline after 300 ms", a.TimeoutAt-f.now)
 	}
-	f.accept(idempotentClass, 5000)
+	f.receive(idempotentClass, 5000)
 	if a := f.inFlight[1]; a.TimeoutAt >= f.now+800 {
-		t.Errorf("time-out after %.0f ms, latency objective 800 ms", a.TimeoutAt-f.now)
+		t.Errorf("timeout after %.0f ms, latency objective 800 ms", a.TimeoutAt-f.now)
 	}
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange holds what the client side and the upstream side share: an accepted request, its attempts, and its
-// single final response. It does no I/O and knows no protocol.
+// Package exchange holds the state of a request that the client side and the upstream side share: the request, its
+// attempts at upstreams, and its single final response. The package does no I/O and is independent of the protocol.
 package exchange
 
 import (
@@ -8,15 +8,15 @@
 	"salttrack/internal/invariant"
 )
 
-// Disposition is how an exchange ended.
+// Disposition is the state of an exchange: in progress, or the way in which it ended.
 type Disposition uint8
 
 // The dispositions.
 const (
-	InProgress Disposition = iota // no final response yet
-	Served                        // with the response of an upstream
-	Rejected                      // the client may safely repeat the request
-	Failed                        // the request may have run
+	InProgress Disposition = iota // the exchange has not ended
+	Served                        // the final response is that of an upstream
+	Rejected                      // the final response tells the client that a retry of the request is safe
+	Failed                        // the final response is an error, and an upstream may have executed the request
 	Abandoned                     // the client disconnected before its response, or the rest of its body was rejected
 )
 
@@ -28,77 +28,78 @@
 	Abandoned:  "abandoned",
 }
 
-// String returns the name of a disposition in the log.
+// String returns the name of a disposition in trace events.
 func (d Disposition) String() string { return dispositionNames[d] }
 
 // Response is the final response of an exchange.
 type Response struct {
 	Disposition    Disposition
-	Body           []byte               // if served: the complete body of the upstream's response
-	Stream         *bodystream.Stream   // if served, in place of Body: a body that is still being received
-	RetryAfter     balance.Millis       // if rejected: when the client should retry, 0 for no advice
-	InvalidRequest bool                 // if failed: an upstream found the request itself invalid
-	Reason         balance.GiveUpReason // if rejected or failed, for the log
+	Body           []byte               // complete body of the upstream's response; only if Served and Stream is nil
+	Stream         *bodystream.Stream   // body that is still being received; only if Served, in place of Body
+	RetryAfter     balance.Millis       // time after which the client should retry; only if Rejected; 0 if it is not told a time
+	InvalidRequest bool                 // an upstream found the request itself invalid; only if Failed
+	Reason         balance.GiveUpReason // why the request was not served, for the trace; only if Rejected or Failed
 }
 
-// Client is the connection that a request was received on.
+// Client is the client connection on which a request was received.
 type Client interface {
-	// Respond sends the final response. It is called once at most, and not for an abandoned exchange.
+	// Respond sends the final response of an exchange. It is called at most once per exchange, and never for an abandoned
+	// one.
 	Respond(*Exchange, Response)
-	// Connected reports whether the client is still connected, by the present state of its connection. If it is not,
-	// the disconnection is reported to the driver before Connected returns.
+	// Connected reports whether the client is still connected. It checks the state of the connection at the time of the
+	// call. If the client has disconnected, Connected reports this to the driver before it returns.
 	Connected(*Exchange) bool
 }
 
-// Exchange is an accepted request, its attempts and its response.
+// Exchange is a request from a client, its attempts and its final response.
 type Exchange struct {
 	ID              balance.RequestID
-	ClientRequestID string // id that the client gave the request, for the log
+	ClientRequestID string // id that the client gave to the request, for the trace
 	Class           uint8
-	ClassRules      *balance.Class // from the settings in force when the request was accepted
+	ClassRules      *balance.Class // settings of the class at the time when the request arrived
 	Tenant          uint16
-	RespondBy       balance.Millis // deadline of the response, by the clock of the event loop
-	ClientDeadline  balance.Millis // when the client stops waiting, some time after RespondBy
-	Message         any            // decoded request, used by the two sides of its protocol only
-	Attempts        []*Attempt     // by their Number
+	RespondBy       balance.Millis // deadline of the final response, by the clock of the event loop
+	ClientDeadline  balance.Millis // time at which the client stops waiting, no earlier than RespondBy
+	Message         any            // decoded request; only the protocol code of the client and upstream sides reads it
+	Attempts        []*Attempt     // indexed by Attempt.Number
 
-	BodyIncomplete bool // the request is not received completely yet
-	BodySent       bool // a part of a streamed body was sent to an upstream, so that it can't be sent again
+	BodyIncomplete bool // the body of the request is still being received
+	BodySent       bool // a part of a streamed body was sent and is no longer stored, so a retry is impossible
 
-	client       Client // nil once the exchange has ended
+	client       Client // nil after the exchange has ended
 	disposition  Disposition
 	openAttempts int // number of attempts that have not ended
 }
 
-// Attempt is one send of a request to an upstream.
+// Attempt is one attempt to have an upstream execute a request.
 type Attempt struct {
 	Exchange        *Exchange
 	Number          int // index in Exchange.Attempts
 	Upstream        balance.UpstreamID
-	SentAt          balance.Millis
-	TimeoutAt       balance.Millis
-	RequestComplete bool // the request was written completely, so that it may have run
+	SentAt          balance.Millis // time at which the attempt began, which may be before its connection was established
+	TimeoutAt       balance.Millis // time at which the attempt times out
+	RequestComplete bool           // the request was written completely, so the upstream may have executed it
 	Ended           bool
-	NeverRan        bool // the outcome proves that the request did not run at this upstream
+	NeverRan        bool // the outcome proves that the upstream did not execute the request
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt that has ended.
 type Result struct {
 	Outcome          balance.Outcome
-	Body             []byte  // if the outcome is OK: the complete response body
-	LoadReported     bool    // the response had a load report
-	ReportedInFlight float64 // the upstream's requests in flight by that report
+	Body             []byte  // complete response body; only if the outcome is OK
+	LoadReported     bool    // the response contained a load report
+	ReportedInFlight float64 // number of requests in flight at the upstream according to the load report
 }
 
-// New returns an exchange for a request of a client, without attempts.
+// New returns an exchange in progress for a request that a client has sent. It has no attempts.
 func New(client Client, message any) *Exchange {
 	return &Exchange{client: client, Message: message}
 }
 
-// Disposition returns how the exchange ended, or InProgress.
+// Disposition returns the way in which the exchange ended, or InProgress.
 func (x *Exchange) Disposition() Disposition { return x.disposition }
 
-// Sendable reports whether an attempt may still be sent: the exchange is in progress and its client connected.
+// Sendable reports whether an attempt may still be sent: the exchange must be in progress and its client connected.
 func (x *Exchange) Sendable() bool {
 	if x.disposition != InProgress || !x.client.Connected(x) {
 		return false
@@ -106,10 +107,11 @@
 	return x.disposition == InProgress
 }
 
-// Finished reports whether the exchange has ended and no attempt is in flight.
+// Finished reports whether the exchange has ended and has no attempts in flight.
 func (x *Exchange) Finished() bool { return x.disposition != InProgress && x.openAttempts == 0 }
 
-// NeverRan reports whether the request is known not to have run at any upstream. An attempt in flight may run.
+// NeverRan reports whether it is certain that no upstream has executed the request. It reports false while an attempt is
+// in flight.
 func (x *Exchange) NeverRan() bool {
 	for _, a := range x.Attempts {
 		if !a.NeverRan {
@@ -119,8 +121,8 @@
 	return true
 }
 
-// Respond ends the exchange with its final response and sends it to the client, unless the client has disconnected.
-// Only the first call has an effect; it reports whether this was the first.
+// Respond ends the exchange. It sends the final response to the client unless the disposition is Abandoned. Only the
+// first call has an effect and returns true.
 func (x *Exchange) Respond(response Response) bool {
 	invariant.Check(response.Disposition != InProgress, "a final response has a final disposition")
 	if x.disposition != InProgress {
@@ -134,7 +136,7 @@
 	return true
 }
 
-// BeginAttempt adds an attempt that is in flight from now on.
+// BeginAttempt adds an attempt in flight.
 func (x *Exchange) BeginAttempt(upstream balance.UpstreamID, now, timeoutAt balance.Millis) *Attempt {
 	invariant.Check(x.disposition == InProgress, "no attempt begins after the final response")
 	a := &Attempt{
@@ -149,7 +151,7 @@
 	return a
 }
 
-// AddUnsentAttempt adds an attempt that was decided but not sent, since the exchange had ended.
+// AddUnsentAttempt adds an attempt that has ended without having been sent, because the exchange had ended.
 func (x *Exchange) AddUnsentAttempt(upstream balance.UpstreamID) *Attempt {
 	a := &Attempt{
 		Exchange: x,
@@ -162,8 +164,8 @@
 	return a
 }
 
-// EndAttempt ends an attempt. neverRan says that its outcome proves that the request did not run. Only the first call
-// has an effect; it reports whether this was the first.
+// EndAttempt ends an attempt. neverRan says whether the outcome proves that the upstream did not execute the request.
+// Only the first call for an attempt has an effect and returns true.
 func (x *Exchange) EndAttempt(a *Attempt, neverRan bool) bool {
 	if a.Ended {
 		return false
@@ -171,6 +173,6 @@
 	a.Ended = true
 	a.NeverRan = neverRan
 	x.openAttempts--
-	invariant.Check(x.openAttempts >= 0, "no more attempts end than begin")
+	invariant.Check(x.openAttempts >= 0, "the number of attempts in flight is not negative")
 	return true
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -6,14 +6,14 @@
 	"salttrack/internal/invariant"
 )
 
-// client records the responses that it is sent.
+// client is a connected client that records the responses sent to it.
 type client struct{ responses []Response }
 
 func (c *client) Connected(*Exchange) bool { return true }
 
 func (c *client) Respond(_ *Exchange, r Response) { c.responses = append(c.responses, r) }
 
-// Only the first response is sent, and an attempt ends once.
+// Only the first response of an exchange is sent to the client, and only the first end of an attempt counts.
 func TestSingleResponse(t *testing.T) {
 	c := &client{}
 	x := New(c, nil)
@@ -25,7 +25,7 @@
 		t.Errorf("%d responses, want 1", len(c.responses))
 	}
 	if x.Finished() || !x.EndAttempt(a, true) || x.EndAttempt(a, false) || !x.NeverRan() || !x.Finished() {
-		t.Error("the exchange does not finish with the first end of its attempt")
+		t.Error("the exchange is not finished after the first end of its only attempt")
 	}
 	if unsent := x.AddUnsentAttempt(8); unsent.Number != 1 || !unsent.Ended || !x.Finished() {
 		t.Errorf("unsent attempt %+v", unsent)
@@ -36,7 +36,7 @@
 	c := &client{}
 	x := New(c, nil)
 	if !x.Respond(Response{Disposition: Abandoned}) || x.Respond(Response{Disposition: Served}) || len(c.responses) != 0 {
-		t.Errorf("%d responses to a disconnected client", len(c.responses))
+		t.Errorf("%d responses sent to a disconnected client", len(c.responses))
 	}
 }
 
@@ -46,7 +46,7 @@
 	before := invariant.Violations()
 	defer func() {
 		if recover(); invariant.Violations() != before+1 {
-			t.Error("an attempt after the final response is not reported as a violation")
+			t.Error("an attempt that begins after the final response is not reported as an invariant violation")
 		}
 	}()
 	x.BeginAttempt(1, 0, 1)
--- a/internal/simulation/mutation/defects_decisions_test.go
+++ b/internal/simulation/mutation/defects_decisions_test.go
@@ -82,7 +82,7 @@
 			},
 			{
 				file: "internal/driver/actions.go",
-				old:  `x.Disposition() != exchange.InProgress || repeatableAfterRun(x.ClassRules) || x.NeverRan()`,
+				old:  `x.Disposition() != exchange.InProgress || safeToRetryAfterExecution(x.ClassRules) || x.NeverRan()`,
 				new:  `true`,
 			},
 		},
--- a/internal/timer/timer.go
+++ b/internal/timer/timer.go
@@ -1,28 +1,28 @@
-// Package timer is a heap of callbacks ordered by time. It reads no clock: its caller passes the time in. It is not
-// safe for concurrent use.
+// Package timer implements timers as a heap of callbacks that is ordered by time. The package does not read a clock: the
+// caller passes the current time to Heap.Run. It is not safe for concurrent use.
 package timer
 
 import "container/heap"
 
-// notInHeap is the index of a timer that has run or was stopped.
+// notInHeap is the index of a timer that is not pending because it has fired or was stopped.
 const notInHeap = -1
 
-// Timer is a callback with a time. Whoever sets a timer stops it when it is no longer needed.
+// Timer is a callback that is run at a set time. The code that sets a timer must stop it when it is no longer needed.
 type Timer struct {
-	due      float64 // ms
-	sequence uint64  // orders timers with the same time
-	index    int     // in the heap, or notInHeap
+	due      float64 // time at which the callback is run, in ms
+	sequence uint64  // increases with each timer that is set, which orders timers with the same due time
+	index    int     // position in the heap, or notInHeap
 	callback func()
 }
 
-// Heap holds the pending timers. Its zero value is empty and ready for use.
+// Heap holds pending timers. The zero value is an empty heap that is ready for use.
 type Heap struct {
 	pending      timerHeap
-	lastSequence uint64
+	lastSequence uint64 // sequence number of the timer that was set last
 }
 
-// Set schedules a callback for a time in milliseconds. Timers of the same time run in the order in which they were
-// set.
+// Set returns a new timer that runs a callback at a time, in ms by the caller's clock. Timers with the same time run in
+// the order in which they were set.
 func (h *Heap) Set(due float64, callback func()) *Timer {
 	h.lastSequence++
 	t := &Timer{due: due, sequence: h.lastSequence, callback: callback}
@@ -30,7 +30,7 @@
 	return t
 }
 
-// Stop removes a pending timer. It does nothing for a nil timer and for one that has run or was stopped.
+// Stop removes a pending timer. It has no effect if the timer is nil, has fired or was stopped.
 func (h *Heap) Stop(t *Timer) {
 	if t == nil || t.index == notInHeap {
 		return
@@ -39,7 +39,7 @@
 	t.callback = nil
 }
 
-// Next returns the time of the earliest pending timer, and whether there is one.
+// Next returns the time of the earliest pending timer in ms, and whether any timer is pending.
 func (h *Heap) Next() (float64, bool) {
 	if len(h.pending) == 0 {
 		return 0, false
@@ -47,8 +47,8 @@
 	return h.pending[0].due, true
 }
 
-// Run runs all timers that are due. Timers set by their callbacks run in the next call at the earliest, even if they
-// are due: a callback that sets itself again must not block the caller.
+// Run runs the callbacks of all timers that are due. Timers that these callbacks set are left for the next call, even if
+// they are due. Otherwise a callback that sets itself again without a delay would keep Run from returning.
 func (h *Heap) Run(now float64) {
 	limit := h.lastSequence
 	for len(h.pending) > 0 && h.pending[0].due <= now && h.pending[0].sequence <= limit {
@@ -60,7 +60,7 @@
 // Len returns the number of pending timers.
 func (h *Heap) Len() int { return len(h.pending) }
 
-// timerHeap implements heap.Interface, by time and then by sequence.
+// timerHeap implements heap.Interface. It orders timers by time, then by sequence number.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -78,14 +78,14 @@
 	h[j].index = j
 }
 
-// Push appends a timer, for package heap.
+// Push appends a timer. Only package heap calls it.
 func (h *timerHeap) Push(v any) {
 	t := v.(*Timer)
 	t.index = len(*h)
 	*h = append(*h, t)
 }
 
-// Pop removes the last timer, for package heap.
+// Pop removes and returns the last timer of the slice. Only package heap calls it.
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	t := (*h)[last]
--- a/internal/timer/timer_test.go
+++ b/internal/timer/timer_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// Timers run by their time, those of the same time in the order of setting, and stopped ones never.
+// Timers run in the order of their times, timers with the same time in the order in which they were set. A stopped timer
+// does not run.
 func TestOrder(t *testing.T) {
 	var h Heap
 	got := ""
@@ -31,7 +32,7 @@
 	}
 }
 
-// A timer that sets itself again at once must not keep Run from returning.
+// Run must return even if a callback sets a timer that is already due.
 func TestRunReturns(t *testing.T) {
 	var h Heap
 	runs := 0
@@ -47,7 +48,8 @@
 	}
 }
 
-// A callback may stop a timer that is due in the same call. The order holds however many are stopped.
+// A callback can stop a timer that is due in the same call of Run. Stopping timers anywhere in the heap preserves the order
+// of the others.
 func TestStopWhileRunning(t *testing.T) {
 	var h Heap
 	var second *Timer
@@ -64,7 +66,7 @@
 	for h.Len() > 0 {
 		due, _ := h.Next()
 		if due < last {
-			t.Fatalf("%v after %v", due, last)
+			t.Fatalf("next timer is due at %v, after one due at %v", due, last)
 		}
 		last = due
 		h.Run(due)
