--- a/cmd/benchlink/helpers_test.go
+++ b/cmd/benchlink/helpers_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Codes and sizes of the protocol, written out here so that the codec is not checked against itself.
+// Codes and sizes of the simulator's protocol. They are defined here again so that the tests don't check package simwire
+// against its own constants.
 const (
 	eventInstanceStarted  = 10
 	eventEndpointUpdate   = 20
@@ -29,15 +30,15 @@
 	actionSize      = 24
 )
 
-// input is a stream of batches.
+// input builds a stream of batches.
 type input struct {
 	bytes.Buffer
-	records []byte
-	tail    []byte
-	number  uint32 // of the last batch
+	records []byte // encoded events of the next batch
+	tail    []byte // tail of the next batch
+	number  uint32 // number of the last batch
 }
 
-// event adds an event to the next batch.
+// event adds an event with the given fields to the next batch.
 func (in *input) event(code byte, fields ...any) {
 	var record bytes.Buffer
 	record.WriteByte(code)
@@ -47,12 +48,14 @@
 	in.records = append(in.records, padding...)
 }
 
+// instanceStarted adds the start of an instance to the next batch.
 func (in *input) instanceStarted(instance uint16, settings string) {
 	const seed = uint64(7)
 	in.event(eventInstanceStarted, instance, seed, uint32(len(in.tail)), uint32(len(settings)))
 	in.tail = append(in.tail, settings...)
 }
 
+// endpointSnapshot adds an endpoint list of ready upstreams to the next batch.
 func (in *input) endpointSnapshot(list uint32, upstreams ...uint32) {
 	const zone, machineType, cell, ready, size, startedAt = uint16(0), uint8(0), uint16(0), uint8(1), float32(1), float64(0)
 	in.event(eventEndpointSnapshot, list, uint32(len(in.tail)), uint32(len(upstreams)))
@@ -63,18 +66,19 @@
 	}
 }
 
+// endpointUpdate adds an update with the endpoints of a list to the next batch.
 func (in *input) endpointUpdate(instance uint16, list uint32, kind uint8) {
 	const version = uint64(1)
 	in.event(eventEndpointUpdate, instance, list, kind, version)
 }
 
-// requestArrived adds a request of the first class.
+// requestArrived adds the arrival of a request of class 0 to the next batch.
 func (in *input) requestArrived(instance uint16, request uint32) {
 	const class, tenant, key, expiresIn, expectedWork, flags = uint8(0), uint16(0), uint64(0), float64(2000), float64(0), uint8(0)
 	in.event(eventRequestArrived, instance, request, class, tenant, key, expiresIn, expectedWork, flags)
 }
 
-// batch ends a batch with all events since the last one.
+// batch writes a batch with all events that were added since the last one. clock is its time in ms.
 func (in *input) batch(clock float64) {
 	in.number++
 	size := batchHeaderSize + len(in.records) + len(in.tail)
@@ -85,13 +89,14 @@
 	in.tail = nil
 }
 
+// writeFields writes values in the protocol's little-endian encoding.
 func writeFields(buffer *bytes.Buffer, fields ...any) {
 	for _, field := range fields {
 		binary.Write(buffer, binary.LittleEndian, field)
 	}
 }
 
-// actionCodes runs the program and returns the codes of the actions of each reply.
+// actionCodes runs the program on an input and returns the codes of the actions in each reply.
 func actionCodes(t *testing.T, in *input) [][]byte {
 	t.Helper()
 	var out bytes.Buffer
--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -9,31 +9,32 @@
 	"salttrack/internal/simwire"
 )
 
-// Causes of a *simwire.RecordError.
+// Causes of a *simwire.RecordError for a record that is well-formed but can't be handled.
 var (
 	errUnknownInstance = errors.New("unknown instance")
 	errUnknownOutcome  = errors.New("unknown outcome")
 )
 
-// host runs the instances of this process. They share nothing but the endpoint lists, which the simulator numbers for
-// the whole process.
+// host runs the balancer instances of this process. The instances share only the endpoint lists, whose numbers are valid
+// for the whole process.
 type host struct {
 	instances map[simwire.InstanceID]instance
-	snapshots [simwire.MaxEndpointLists][]simwire.Endpoint
-	endpoints []balance.Endpoint // reused by each update
+	snapshots [simwire.MaxEndpointLists][]simwire.Endpoint // indexed by list number
+	endpoints []balance.Endpoint                           // buffer that is reused for each endpoint update
 }
 
-// instance is one balancer.
+// instance is a balancer instance that is running.
 type instance struct {
 	*balance.Balancer
-	inFlightColumn int // of its load reports, -1 if they do not have the requests in flight
+	inFlightColumn int // column of a load report with the requests in flight; -1 if there is none
 }
 
 func newHost() *host {
 	return &host{instances: map[simwire.InstanceID]instance{}}
 }
 
-// serve handles the events of a batch and adds the actions to its reply. The error is a *simwire.RecordError.
+// serve handles the events of a batch in order and adds the resulting actions to the reply. The error is a
+// *simwire.RecordError.
 func (h *host) serve(batch *simwire.Batch, reply *simwire.Reply) error {
 	for i := range batch.Len() {
 		id, event, err := batch.Event(i)
@@ -47,7 +48,8 @@
 	return nil
 }
 
-// handle handles the events that concern the host, and delivers the others to their instance.
+// handle handles one event. It starts and kills instances and stores endpoint lists. It delivers every other event, and
+// InstanceStarted as well, to the instance, so that the first actions of a new instance are added to the reply.
 func (h *host) handle(id simwire.InstanceID, event simwire.Event, now balance.Millis, reply *simwire.Reply) error {
 	switch event := event.(type) {
 	case *simwire.EndpointSnapshot:
@@ -70,6 +72,7 @@
 	return h.deliver(target, id, event, now, reply)
 }
 
+// startInstance returns a new instance with the settings of the event.
 func startInstance(event *simwire.InstanceStarted, now balance.Millis) (instance, error) {
 	document, err := settings.ParseLines(event.Settings)
 	if err != nil {
@@ -83,8 +86,8 @@
 	return instance{Balancer: balancer, inFlightColumn: decoded.InFlightColumn}, nil
 }
 
-// deliver passes an event to an instance and adds its actions to the reply. A panic of package balance is reported to the
-// simulator, which shows its text.
+// deliver passes an event to an instance and adds the instance's actions to the reply. If package balance panics, the reply
+// reports the text of the panic to the simulator.
 func (h *host) deliver(target instance, id simwire.InstanceID, event simwire.Event, now balance.Millis,
 	reply *simwire.Reply) error {
 	defer func() {
@@ -116,6 +119,7 @@
 	return nil
 }
 
+// updateEndpoints passes an endpoint update to an instance, with the endpoints of the snapshot that it refers to.
 func (h *host) updateEndpoints(target instance, event *simwire.EndpointUpdate, now balance.Millis) {
 	if event.Kind == simwire.WatchFailed {
 		target.OnWatchFailed(now)
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Benchlink runs instances of package balance in the simulator: it reads batches of events from standard input and
-// writes a reply of actions for each to standard output. It makes no decisions of its own.
+// Benchlink connects instances of package balance to the simulator. It reads batches of events from standard input. For
+// each batch it writes a reply with the actions of the instances to standard output. It makes no decisions of its own.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"salttrack/internal/simwire"
 )
 
-const bufferSize = 64 << 10 // bytes, of standard input and output
+const bufferSize = 64 << 10 // size in bytes of the buffer of standard input, and of that of standard output
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -20,7 +20,7 @@
 	}
 }
 
-// run replies to batches until the input ends.
+// run writes a reply to each batch until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, bufferSize)
 	output := bufio.NewWriterSize(out, bufferSize)
@@ -29,7 +29,7 @@
 	var reply simwire.Reply
 	for {
 		err := batch.Read(input)
-		if err == io.EOF { // not one that a cut-off frame wraps
+		if err == io.EOF { // not errors.Is: the error for an incomplete frame can wrap io.EOF
 			return nil
 		}
 		if err != nil {
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -13,11 +13,12 @@
 	"salttrack/internal/simwire"
 )
 
+// countCode returns how many times a code occurs.
 func countCode(codes []byte, code byte) int { return bytes.Count(codes, []byte{code}) }
 
-func TestRequestIsForwardedAndAnswered(t *testing.T) {
+func TestForwardThenReject(t *testing.T) {
 	in := &input{}
-	in.batch(1000) // batches may be empty
+	in.batch(1000) // an empty batch is valid
 	in.instanceStarted(3, settingstest.Lines())
 	in.endpointSnapshot(0, 11, 12)
 	in.endpointUpdate(3, 0, updateCached)
@@ -33,8 +34,8 @@
 	}
 }
 
-// A number of a list stands for the last snapshot before the update, also within one batch.
-func TestListsInOrderOfEvents(t *testing.T) {
+// An endpoint update uses the last snapshot with its list number that precedes it, even within one batch.
+func TestUpdateUsesLastSnapshot(t *testing.T) {
 	in := &input{}
 	in.instanceStarted(1, settingstest.Lines())
 	in.endpointSnapshot(4, 11)
@@ -44,7 +45,7 @@
 	in.endpointUpdate(2, 4, updateComplete)
 	in.requestArrived(1, 501)
 	in.requestArrived(2, 502)
-	in.event(eventInstanceKilled, uint16(1)) // and started again in the same batch
+	in.event(eventInstanceKilled, uint16(1)) // the instance is started again in the same batch
 	in.instanceStarted(1, settingstest.Lines())
 	in.endpointUpdate(1, 4, updateCached)
 	in.batch(1000)
@@ -70,8 +71,8 @@
 		{"missing setting", withSettings("zone="), "batch 1, record 0: setting zone is missing", 0, settings.ErrMissing},
 		{"malformed setting", withSettings("classes.1.worth=dear"),
 			`batch 1, record 0: setting classes.1.worth="dear" is not a number`, 0, settings.ErrNotNumber},
-		{"unknown word", withSettings("discovery=guess"),
-			`batch 1, record 0: setting discovery="guess" is not a known word`, 0, settings.ErrUnknownValue},
+		{"unknown value", withSettings("discovery=guess"),
+			`batch 1, record 0: setting discovery="guess" is not one of the allowed values: ask, push`, 0, settings.ErrUnknownValue},
 		{"many classes", withSettings("classes.count=1048576"),
 			"batch 1, record 0: setting classes.2.on_time_ms is missing", 0, settings.ErrMissing},
 		{"line without an equals sign", func(in *input) { in.instanceStarted(1, "nonsense") },
@@ -99,19 +100,19 @@
 	}
 }
 
-// A frame that is cut off right behind its header is no end of the input.
-func TestFrameCutOff(t *testing.T) {
+// An input that ends right after the header of a frame is an error, not the regular end of the input.
+func TestIncompleteFrame(t *testing.T) {
 	in := &input{}
 	in.requestArrived(1, 1)
 	in.batch(1000)
 	in.Truncate(batchHeaderSize)
-	const want = "batch 1: frame of 68 bytes cut off: EOF"
+	const want = "batch 1: incomplete frame of 68 bytes: EOF"
 	if err := run(in, &bytes.Buffer{}); err == nil || err.Error() != want {
 		t.Errorf("%v, want %q", err, want)
 	}
 }
 
-// A panic of package balance ends the day with its text, not with a dead process.
+// A panic of package balance is reported to the simulator with its text and does not end the process.
 func TestPanicIsReported(t *testing.T) {
 	var reply simwire.Reply
 	var out bytes.Buffer
@@ -137,12 +138,12 @@
 	}{{1, true, 7}, {-1, false, 0}, {2, false, 0}} {
 		got, err := attemptEnded(&event, tt.column)
 		if err != nil || got.LoadReported != tt.reported || got.ReportedInFlight != tt.inFlight {
-			t.Errorf("requests in flight in column %d: %v %+v", tt.column, err, got)
+			t.Errorf("in-flight column %d: error %v, event %+v", tt.column, err, got)
 		}
 	}
 }
 
-// The state of an endpoint that the protocol does not know is taken for draining.
+// An endpoint state that is not defined in the protocol is converted to draining.
 func TestEndpointStates(t *testing.T) {
 	for state, want := range map[simwire.EndpointState]balance.EndpointState{
 		0: balance.Removed, 1: balance.Ready, 2: balance.Draining, 3: balance.Draining, 255: balance.Draining,
--- a/cmd/benchlink/translate.go
+++ b/cmd/benchlink/translate.go
@@ -7,7 +7,7 @@
 	"salttrack/internal/simwire"
 )
 
-// outcomes maps the simulator's outcomes to those of package balance.
+// outcomes maps the outcome codes of the simulator's protocol to the outcomes of package balance.
 var outcomes = map[simwire.OutcomeCode]balance.Outcome{
 	simwire.OutcomeOK:              balance.OK,
 	simwire.OutcomeUpstreamError:   balance.UpstreamError,
@@ -19,6 +19,7 @@
 	simwire.OutcomeNotSent:         balance.NotSent,
 }
 
+// requestArrived converts an event of the simulator to one of package balance.
 func requestArrived(event *simwire.RequestArrived) balance.RequestArrived {
 	return balance.RequestArrived{
 		Request:   balance.RequestID(event.Request),
@@ -28,6 +29,7 @@
 	}
 }
 
+// responseStarted converts an event of the simulator to one of package balance.
 func responseStarted(event *simwire.ResponseStarted) balance.ResponseStarted {
 	return balance.ResponseStarted{
 		Request: balance.RequestID(event.Request),
@@ -36,6 +38,8 @@
 	}
 }
 
+// attemptEnded converts an event of the simulator to one of package balance. inFlightColumn is the column of the load
+// report with the requests in flight, or -1.
 func attemptEnded(event *simwire.AttemptEnded, inFlightColumn int) (balance.AttemptEnded, error) {
 	outcome, ok := outcomes[event.Outcome]
 	if !ok {
@@ -52,6 +56,7 @@
 	return ended, nil
 }
 
+// appendEndpoints converts an endpoint list of the simulator and appends it to a slice.
 func appendEndpoints(endpoints []balance.Endpoint, list []simwire.Endpoint) []balance.Endpoint {
 	for i := range list {
 		endpoint := &list[i]
@@ -66,7 +71,8 @@
 	return endpoints
 }
 
-// endpointState maps a state. An unknown one counts as draining, so that no new request is forwarded there.
+// endpointState converts a state. An unknown state is converted to draining, so that no new request is forwarded to the
+// upstream.
 func endpointState(state simwire.EndpointState) balance.EndpointState {
 	switch state {
 	case simwire.EndpointRemoved:
@@ -78,7 +84,7 @@
 	}
 }
 
-// addActions adds the actions of an instance to the reply.
+// addActions adds the pending actions of an instance to the reply.
 func addActions(balancer *balance.Balancer, id simwire.InstanceID, reply *simwire.Reply) {
 	for action, ok := balancer.NextAction(); ok; action, ok = balancer.NextAction() {
 		switch action := action.(type) {
--- a/internal/node/config_errors_test.go
+++ b/internal/node/config_errors_test.go
@@ -51,15 +51,15 @@
 		{`"members":[]`, `"members":[{"id":"s","phase":"asleep"}]`, `known: discovery: member "s": unknown phase "asleep"`},
 		{`"known":{"revision":0,"complete":true,"members":[]}`, `"known":null`, ""},
 		{`"settings":{`, `"other":{`, "settings are missing"},
-		{`"settings":{`, `"settings":[1],"other":{`, "settings: json: cannot unmarshal array into Go value of type map[string]interface {}"},
+		{`"settings":{`, `"settings":[1],"other":{`, "settings: not a valid JSON object: json: cannot unmarshal array into Go value of type map[string]interface {}"},
 		{`"settings":{`, `"settings":null,"other":{`, "setting me is missing"},
 		{`"granularity_ms":5.0,`, ``, "setting granularity_ms is missing"},
 		{`"granularity_ms":5.0`, `"granularity_ms":"5"`, `setting granularity_ms="5" is not a number`},
-		{`"discovery":"push"`, `"discovery":"guess"`, `setting discovery="guess" is not a known word`},
-		{`"cancel":true`, `"cancel":1`, `setting limits.cancel="1" is neither true nor false`},
-		{`"deadline_ms":5000`, `"deadline_ms":0`, "setting classes.0.deadline_ms is 0: it has to be over 0"},
+		{`"discovery":"push"`, `"discovery":"guess"`, `setting discovery="guess" is not one of the allowed values: ask, push`},
+		{`"cancel":true`, `"cancel":1`, `setting limits.cancel="1" is not a boolean: must be true or false`},
+		{`"deadline_ms":5000`, `"deadline_ms":0`, "setting classes.0.deadline_ms=0 is out of range: must be greater than 0"},
 		{`"name":"read",`, ``, "setting classes.0.name is missing"},
-		{`"name":"pay"`, `"name":"read"`, `setting classes.1.name: "read" is there twice`},
+		{`"name":"pay"`, `"name":"read"`, `setting classes.1.name="read" is already the name of another class`},
 	} {
 		text := strings.Replace(validConfig, tt.old, tt.replacement, 1)
 		_, err := Parse([]byte(text), nil)
@@ -153,7 +153,7 @@
 		{`"sockets":384`, `"sockets":47`, "limits", "{Cores:1 MemoryMB:64 Sockets:47}", "", ErrLimitsTooLow},
 		{`"settings":{`, `"other":{`, "settings", "", "", ErrNoSettings},
 		{`"me":0`, `"me":"x"`, "settings.me", "x", "", settings.ErrNotNumber},
-		{`"max_attempts":6`, `"max_attempts":0`, "settings.limits.max_attempts", "0", "at least one attempt is needed", settings.ErrOutOfRange},
+		{`"max_attempts":6`, `"max_attempts":0`, "settings.limits.max_attempts", "0", "must be at least 1", settings.ErrOutOfRange},
 		{`"name":"read",`, ``, "settings.classes.0.name", "", "", settings.ErrMissing},
 	} {
 		path := writeConfig(t, strings.Replace(validConfig, tt.old, tt.replacement, 1))
--- a/internal/settings/classes.go
+++ b/internal/settings/classes.go
@@ -6,10 +6,10 @@
 	"salttrack/balance"
 )
 
-// WithClassNumbers returns these settings with class numbers that continue those of the running settings: a class that
-// stays under its name keeps its number, and a new one gets a number that neither a running class nor a request in
-// progress uses. A class that was dropped stays at its number, marked as removed, until the number is assigned again.
-// The error is an *Error.
+// WithClassNumbers returns a copy of newly loaded settings in which the class numbers are consistent with the running
+// settings. A class that is in both keeps its number. A new class gets a number that is used neither by a class of the
+// running settings nor by a request in progress. A class that is only in the running settings keeps its number and is
+// marked as removed, until its number is assigned to another class. The error is an *Error.
 func (s Settings) WithClassNumbers(running Settings, inUse func(class uint8) bool) (Settings, error) {
 	numbering := newClassNumbering(running, inUse)
 	for i, name := range s.ClassNames {
@@ -26,14 +26,15 @@
 	return next, nil
 }
 
-// classNumbering assigns numbers to the classes of new settings.
+// classNumbering assigns numbers to the classes of newly loaded settings.
 type classNumbering struct {
 	running Settings
-	inUse   func(class uint8) bool
-	classes []balance.Class // by number
-	names   []string        // by number
+	inUse   func(class uint8) bool // whether a request of the class is in progress
+	classes []balance.Class        // result, indexed by class number
+	names   []string               // names of the classes of the result
 }
 
+// newClassNumbering returns a numbering in which every class of the running settings is marked as removed.
 func newClassNumbering(running Settings, inUse func(class uint8) bool) *classNumbering {
 	numbering := &classNumbering{
 		running: running,
@@ -47,8 +48,8 @@
 	return numbering
 }
 
-// numberFor returns the number for a class: its own, a free one, or the next beyond the highest. It reports whether
-// there is one.
+// numberFor returns the number that a class gets: the number that it has in the running settings, else a free number,
+// else the lowest number that was never assigned. ok is false if all numbers are taken.
 func (n *classNumbering) numberFor(name string) (number int, ok bool) {
 	number = slices.Index(n.running.ClassNames, name)
 	if number >= 0 && !n.running.Classes[number].Removed {
@@ -63,11 +64,13 @@
 	return number, number < maxClasses
 }
 
-// isFree reports whether a number of a removed class may be assigned again.
+// isFree reports whether a number may be assigned to a new class: its class was already removed from the running
+// settings, the number has not been assigned again, and no request in progress uses it.
 func (n *classNumbering) isFree(number int) bool {
 	return n.running.Classes[number].Removed && n.classes[number].Removed && !n.inUse(uint8(number))
 }
 
+// assign sets the class and the name at a number. The number may be one higher than the highest number so far.
 func (n *classNumbering) assign(number int, name string, class balance.Class) {
 	if number == len(n.classes) {
 		n.classes = append(n.classes, balance.Class{})
@@ -77,7 +80,7 @@
 	n.names[number] = name
 }
 
-// clearReusedNames takes the name from a removed class if a class of the new settings has it under another number.
+// clearReusedNames clears the name of each removed class whose name a class of the new settings has under another number.
 func (n *classNumbering) clearReusedNames(newNames []string) {
 	for number := range n.classes {
 		if n.classes[number].Removed && slices.Contains(newNames, n.names[number]) {
--- a/internal/settings/classes_test.go
+++ b/internal/settings/classes_test.go
@@ -10,15 +10,15 @@
 	"salttrack/balance"
 )
 
-// reloadModel is a program that reloads its settings while requests begin and end.
+// reloadModel models a balancer that reloads its settings while requests begin and end.
 type reloadModel struct {
 	running  Settings
-	requests map[uint8]string // by class number: the class name of a request in progress
+	requests map[uint8]string // class names of requests in progress, by class number
 }
 
 func (m *reloadModel) inUse(class uint8) bool { return m.requests[class] != "" }
 
-// changeRequests lets requests of some classes begin and end.
+// changeRequests begins or ends requests of randomly selected classes.
 func (m *reloadModel) changeRequests(t *rapid.T) {
 	for i, class := range m.running.Classes {
 		number := uint8(i)
@@ -31,7 +31,8 @@
 	}
 }
 
-// drawSettings returns one to six of ten classes, each with the number in its name as its priority weight.
+// drawSettings returns settings with one to six of ten possible classes. The number in the name of a class is its
+// priority weight.
 func drawSettings(t *rapid.T, label string) Settings {
 	var s Settings
 	numbers := rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 1, 6, rapid.ID[int]).Draw(t, label)
@@ -42,7 +43,7 @@
 	return s
 }
 
-// checkClass checks the number of a class that is not removed.
+// checkClass checks that the class at a number has its own settings and that the number may be assigned to it.
 func (m *reloadModel) checkClass(t *rapid.T, loaded, next Settings, number int) {
 	t.Helper()
 	name, class := next.ClassNames[number], next.Classes[number]
@@ -52,16 +53,16 @@
 	running := m.running
 	if number < len(running.Classes) && running.ClassNames[number] != name &&
 		(!running.Classes[number].Removed || m.inUse(uint8(number))) {
-		t.Fatalf("%s has number %d, which is still that of %s", name, number, running.ClassNames[number])
+		t.Fatalf("%s has number %d, which %s still uses", name, number, running.ClassNames[number])
 	}
 	before := slices.Index(running.ClassNames, name)
 	if before >= 0 && before != number && !running.Classes[before].Removed {
-		t.Fatalf("%s changes its number from %d to %d", name, before, number)
+		t.Fatalf("the number of %s changes from %d to %d", name, before, number)
 	}
 }
 
-// Whatever classes are added, dropped and reordered, and whichever are in use: a class that stays keeps its number, and
-// no class gets the number of another one that is in use.
+// When classes are added, removed and reordered, a class that remains keeps its number, and no class gets a number that
+// another class still uses.
 func TestClassNumbers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := reloadModel{running: drawSettings(t, "first"), requests: map[uint8]string{}}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -6,15 +6,15 @@
 	"salttrack/balance"
 )
 
-// Defaults of optional settings.
+// Default values of optional settings.
 const (
 	defaultConnectTimeout  balance.Millis = 250
 	defaultKeepAlive       balance.Millis = 15000
 	defaultOverQuotaWeight                = 1.0
 )
 
-// Decode decodes and validates the settings of a document. The error is an *Error, of the first setting that is missing
-// or wrong.
+// Decode decodes and validates the settings of a document. The error is an *Error for the first setting that is missing
+// or invalid.
 func Decode(document *Document) (Settings, error) {
 	r := &reader{document: document}
 	var s Settings
@@ -38,9 +38,9 @@
 func decodeInstance(r *reader, s *Settings) {
 	s.Instance = r.integer(instancePath)
 	s.Replicas = r.integer(replicasPath)
-	s.Tier = int(r.numberOr(tierPath, 0))
+	s.Tier = int(r.optionalNumber(tierPath, 0))
 	s.TierCount = max(1, len(r.list(tiersPath)))
-	s.OverQuotaWeight = r.numberOr(overQuotaWeightPath, defaultOverQuotaWeight)
+	s.OverQuotaWeight = r.optionalNumber(overQuotaWeightPath, defaultOverQuotaWeight)
 	s.PollEndpoints = enum(r, discoveryPath, pollEndpointsByValue)
 	s.Granularity = r.number(granularityPath)
 }
@@ -60,11 +60,11 @@
 
 func decodeConnections(r *reader, s *Settings) {
 	s.InFlightColumn = slices.Index(r.list(loadReportPath), inFlightColumnName)
-	s.ConnectTimeout = r.numberOr(connectTimeoutPath, defaultConnectTimeout)
-	s.KeepAlive = r.numberOr(keepAlivePath, defaultKeepAlive)
+	s.ConnectTimeout = r.optionalNumber(connectTimeoutPath, defaultConnectTimeout)
+	s.KeepAlive = r.optionalNumber(keepAlivePath, defaultKeepAlive)
 }
 
-// decodeZone accepts the zone by its name or by its index.
+// decodeZone decodes the zone of the instance, which is given by its name or by its number.
 func decodeZone(r *reader, s *Settings) {
 	s.ZoneNames = r.list(zoneNamesPath)
 	zone := slices.Index(s.ZoneNames, r.required(zonePath).text)
@@ -74,6 +74,7 @@
 	s.Zone = uint16(zone)
 }
 
+// decodeRetryAfter decodes MaxRetryAfter, or leaves it at 0, which disables Retry-After, if the settings disable it.
 func decodeRetryAfter(r *reader, s *Settings) {
 	if r.boolean(retryAfterPath) {
 		s.MaxRetryAfter = r.number(maxRetryAfterPath)
@@ -84,7 +85,7 @@
 	for i := range r.integer(countPath(classesPath)) {
 		s.Classes = append(s.Classes, decodeClass(r, i))
 		s.ClassNames = append(s.ClassNames, r.document.values[classPath(i, classNameName)].text)
-		if r.err != nil { // the count may be far larger than what is there
+		if r.err != nil { // stops at the first missing class, since the count may be far larger than the number of classes
 			return
 		}
 	}
@@ -96,7 +97,7 @@
 		LatencyObjective: r.number(path(latencyObjectiveName)),
 		Deadline:         r.number(path(deadlineName)),
 		PriorityWeight:   r.number(path(priorityWeightName)),
-		LateWeight:       r.numberOr(path(lateWeightName), 0),
+		LateWeight:       r.optionalNumber(path(lateWeightName), 0),
 		Streaming:        r.document.has(path(streamingName)) && r.boolean(path(streamingName)),
 		Idempotency:      enum(r, path(idempotencyName), idempotencyByValue),
 	}
@@ -112,7 +113,7 @@
 		return
 	}
 	for i := range r.integer(countPath(tenantsPath)) {
-		quota := r.numberOr(itemPath(tenantsPath, i, quotaName), 0)
+		quota := r.optionalNumber(itemPath(tenantsPath, i, quotaName), 0)
 		s.TenantQuota = append(s.TenantQuota, quota)
 	}
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -2,20 +2,21 @@
 
 import "strings"
 
-// Document holds settings by path, such as "limits.max_attempts", before they are decoded. A list of objects has its
-// length under "<path>.count" and its items under "<path>.0", "<path>.1" and so on; a list of plain values is one value,
-// joined by commas.
+// Document holds settings before they are decoded, by path, such as "limits.max_attempts". For a list of objects, the
+// path "<path>.count" has the number of objects, and the settings of the objects are under "<path>.0", "<path>.1" and so
+// on. A list of scalars is a single value, in which commas separate the scalars.
 type Document struct {
-	values map[string]value
+	values map[string]value // by path
 }
 
-// value is a plain value in its textual form.
+// value is a scalar, or a list of scalars, as text.
 type value struct {
-	text   string
-	quoted bool // the source marks it as a string, so it is neither a number nor a boolean
+	text     string
+	isString bool // a JSON string, which is accepted neither as a number nor as a boolean
 }
 
-// ParseLines reads path=value lines, as the simulator sends them. The error is a *SyntaxError.
+// ParseLines parses lines of the form path=value, in which the simulator sends settings. Empty lines are ignored. The
+// error is a *SyntaxError.
 func ParseLines(text []byte) (*Document, error) {
 	document := &Document{values: map[string]value{}}
 	for i, line := range strings.Split(string(text), "\n") {
@@ -31,7 +32,7 @@
 	return document, nil
 }
 
-// has reports whether a path is set.
+// has reports whether the document has a value at a path.
 func (d *Document) has(path string) bool {
 	_, ok := d.values[path]
 	return ok
--- a/internal/settings/json.go
+++ b/internal/settings/json.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// ParseJSON reads settings from a nested JSON object, as configuration files have them. A null is the same as an absent
-// key. The error is a *SyntaxError.
+// ParseJSON parses a nested JSON object, the form that settings have in a configuration file. A key whose value is null
+// is treated as absent. The error is a *SyntaxError.
 func ParseJSON(text []byte) (*Document, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -22,6 +22,7 @@
 	return document, nil
 }
 
+// add adds a decoded JSON value, with all that it contains, at a path.
 func (d *Document) add(path string, node any) {
 	switch node := node.(type) {
 	case nil:
@@ -30,12 +31,13 @@
 	case []any:
 		d.addList(path, node)
 	case string:
-		d.values[path] = value{text: normalize(node), quoted: true}
+		d.values[path] = value{text: replaceSeparators(node), isString: true}
 	default:
-		d.values[path] = value{text: plainText(node)}
+		d.values[path] = value{text: scalarText(node)}
 	}
 }
 
+// addObject adds the values of an object at the paths below its own, or at the top level if the path is empty.
 func (d *Document) addObject(path string, object map[string]any) {
 	for name, child := range object {
 		childPath := name
@@ -46,6 +48,7 @@
 	}
 }
 
+// addList adds a list. A list that contains an object is added as a list of objects, any other one as a list of scalars.
 func (d *Document) addList(path string, list []any) {
 	if containsObject(list) {
 		d.values[countPath(path)] = value{text: strconv.Itoa(len(list))}
@@ -56,7 +59,7 @@
 	}
 	texts := make([]string, len(list))
 	for i, item := range list {
-		texts[i] = plainText(item)
+		texts[i] = scalarText(item)
 	}
 	d.values[path] = value{text: strings.Join(texts, ",")}
 }
@@ -70,15 +73,16 @@
 	return false
 }
 
-// plainText returns the textual form of a value that is no object.
-func plainText(node any) string {
+// scalarText returns a decoded JSON value that is not an object as text.
+func scalarText(node any) string {
 	if text, ok := node.(string); ok {
-		return normalize(text)
+		return replaceSeparators(text)
 	}
 	return fmt.Sprint(node)
 }
 
 var separators = strings.NewReplacer(" ", "_", ",", "_")
 
-// normalize replaces the characters that separate values in path=value lines, so that names are equal in both sources.
-func normalize(text string) string { return separators.Replace(text) }
+// replaceSeparators replaces spaces and commas by underscores. Names in path=value lines have this form, since commas
+// separate the items of a list there. After the replacement, a name is the same in both sources of settings.
+func replaceSeparators(text string) string { return separators.Replace(text) }
--- a/internal/settings/missing.go
+++ b/internal/settings/missing.go
@@ -6,11 +6,12 @@
 	"strings"
 )
 
+// classPrefix matches the part of a path that precedes the name of a class setting, such as "classes.1.".
 var classPrefix = regexp.MustCompile(`^` + classesPath + `\.\d+\.`)
 
-// MissingPath returns the first path, in alphabetical order, that another document has and this one lacks, ""
-// if there is none. Classes may differ in number and names: each has to have what all classes of the other document
-// have.
+// MissingPath returns the alphabetically first path that another document has and this one lacks, or "" if there is none.
+// The documents may have different classes. Each class of this document must have the settings that all classes of the
+// other one have.
 func (d *Document) MissingPath(other *Document) string {
 	missing := append(d.missingOutsideClasses(other), d.missingInClasses(other)...)
 	if len(missing) == 0 {
@@ -19,6 +20,7 @@
 	return slices.Min(missing)
 }
 
+// missingOutsideClasses returns the missing paths that do not belong to a class.
 func (d *Document) missingOutsideClasses(other *Document) []string {
 	var missing []string
 	for path := range other.values {
@@ -29,12 +31,14 @@
 	return missing
 }
 
-// hasValueOrList reports whether a path is set. An empty list of objects can't be told from an empty list of plain
-// values, so either form of a list stands for the other.
+// hasValueOrList reports whether the document has a value or a list at a path. An empty list of objects has the same form
+// as an empty list of scalars, so a path with ".count" and the same path without it are treated as equal.
 func (d *Document) hasValueOrList(path string) bool {
 	return d.has(path) || d.has(strings.TrimSuffix(path, countSuffix)) || d.has(countPath(path))
 }
 
+// missingInClasses returns the missing paths of class settings. It returns none if the document has no classes, since
+// missingOutsideClasses then returns the path of their number.
 func (d *Document) missingInClasses(other *Document) []string {
 	if !d.has(countPath(classesPath)) {
 		return nil
@@ -50,7 +54,7 @@
 	return missing
 }
 
-// commonClassSettings returns the names of the settings that all classes have.
+// commonClassSettings returns the names of the settings that every class has.
 func (d *Document) commonClassSettings() []string {
 	occurrences := map[string]int{}
 	for path := range d.values {
@@ -67,6 +71,7 @@
 	return common
 }
 
+// classCount returns the number of classes, 0 if the document has none.
 func (d *Document) classCount() int {
 	if !d.has(countPath(classesPath)) {
 		return 0
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -6,7 +6,7 @@
 	"salttrack/balance"
 )
 
-// The paths of settings on the wire and in configuration files. Only this file knows their names there.
+// Paths of settings, as the simulator sends them and configuration files have them. No other file contains these names.
 const (
 	instancePath          = "me"
 	replicasPath          = "replicas_of_me"
@@ -33,7 +33,7 @@
 	tenantsPath           = "tenants"
 )
 
-// The names of the settings of a class and of a tenant.
+// Names of class and tenant settings, which follow the path of the class or tenant.
 const (
 	classNameName           = "name"
 	latencyObjectiveName    = "on_time_ms"
@@ -48,10 +48,10 @@
 	quotaName = "quota_per_s"
 )
 
-// inFlightColumnName is the name of the requests in flight among the values of a load report.
+// inFlightColumnName is the name of the column of a load report that has the number of requests in flight.
 const inFlightColumnName = "inflight"
 
-// The values of enumerated settings, and what they mean.
+// Values of enumerated settings and what they are decoded to.
 var (
 	pollEndpointsByValue = map[string]bool{
 		"push": false,
@@ -69,15 +69,15 @@
 	}
 )
 
-// countPath returns the path of the length of a list of objects.
+// countPath returns the path that has the number of objects of a list.
 func countPath(list string) string { return list + countSuffix }
 
 const countSuffix = ".count"
 
-// itemPath returns the path of a setting of an object in a list.
+// itemPath returns the path of a setting of the object at an index of a list.
 func itemPath(list string, index int, name string) string {
 	return fmt.Sprintf("%s.%d.%s", list, index, name)
 }
 
-// classPath returns the path of a setting of a class.
+// classPath returns the path of a setting of the class at an index.
 func classPath(index int, name string) string { return itemPath(classesPath, index, name) }
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -1,32 +1,37 @@
 package settings
 
 import (
+	"maps"
 	"math"
+	"slices"
 	"strconv"
 	"strings"
 )
 
-// maxInteger bounds counts and indexes, so that they fit an int and bound what is allocated for them.
+// maxInteger is the highest value of a count or an index. It fits in an int and limits the memory that is allocated for
+// lists.
 const maxInteger = 1 << 20
 
-// reader reads typed values from a document. It keeps the first error, and returns zero values for what is missing or
-// malformed.
+// reader reads typed values from a document. It returns the zero value for a missing or malformed value and records only
+// the first error.
 type reader struct {
 	document *Document
-	err      error
+	err      error // the first error, an *Error
 }
 
-func (r *reader) fail(path string, reason error) {
+// fail records an error for the value at a path, unless an earlier one has been recorded. allowed is empty if the reason
+// says which values are allowed.
+func (r *reader) fail(path string, reason error, allowed string) {
 	if r.err == nil {
-		r.err = &Error{Path: path, Value: r.document.values[path].text, Reason: reason}
+		r.err = &Error{Path: path, Value: r.document.values[path].text, Allowed: allowed, Reason: reason}
 	}
 }
 
-// required returns the value at a path that has to be set.
+// required returns the value at a path. It is an error if there is none.
 func (r *reader) required(path string) value {
 	value, ok := r.document.values[path]
 	if !ok {
-		r.fail(path, ErrMissing)
+		r.fail(path, ErrMissing, "")
 	}
 	return value
 }
@@ -35,15 +40,15 @@
 func (r *reader) number(path string) float64 {
 	value := r.required(path)
 	number, err := strconv.ParseFloat(value.text, 64)
-	if err != nil || math.IsNaN(number) || value.quoted {
-		r.fail(path, ErrNotNumber)
+	if err != nil || math.IsNaN(number) || value.isString {
+		r.fail(path, ErrNotNumber, "")
 		return 0
 	}
 	return number
 }
 
-// numberOr returns a number, or the default if the path is not set.
-func (r *reader) numberOr(path string, defaultNumber float64) float64 {
+// optionalNumber returns the number at a path, or a default if there is no value.
+func (r *reader) optionalNumber(path string, defaultNumber float64) float64 {
 	if !r.document.has(path) {
 		return defaultNumber
 	}
@@ -54,7 +59,7 @@
 func (r *reader) integer(path string) int {
 	number := r.number(path)
 	if number < 0 || number > maxInteger || number != math.Trunc(number) {
-		r.fail(path, ErrNotInteger)
+		r.fail(path, ErrNotInteger, "")
 		return 0
 	}
 	return int(number)
@@ -64,13 +69,13 @@
 func (r *reader) boolean(path string) bool {
 	value := r.required(path)
 	isBoolean := value.text == "true" || value.text == "false"
-	if !isBoolean || value.quoted {
-		r.fail(path, ErrNotBoolean)
+	if !isBoolean || value.isString {
+		r.fail(path, ErrNotBoolean, "")
 	}
 	return value.text == "true"
 }
 
-// list returns the items of a list of plain values, none if it is empty or not set.
+// list returns the items of a list of scalars. It returns no items if the list is empty or there is none.
 func (r *reader) list(path string) []string {
 	text := r.document.values[path].text
 	if text == "" {
@@ -79,11 +84,11 @@
 	return strings.Split(text, ",")
 }
 
-// enum returns the meaning of a required value, which has to be one of those given.
-func enum[T any](r *reader, path string, meanings map[string]T) T {
-	meaning, ok := meanings[r.required(path).text]
+// enum returns what the value at a path is decoded to. The value is required and must be a key of the map.
+func enum[T any](r *reader, path string, decoded map[string]T) T {
+	result, ok := decoded[r.required(path).text]
 	if !ok {
-		r.fail(path, ErrUnknownValue)
+		r.fail(path, ErrUnknownValue, strings.Join(slices.Sorted(maps.Keys(decoded)), ", "))
 	}
-	return meaning
+	return result
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,9 +25,9 @@
 		t.Errorf("empty list %v", got)
 	}
 	if !r.boolean("yes") {
-		t.Error("boolean is false")
+		t.Error("boolean false, want true")
 	}
-	if got := r.numberOr("absent", 4); got != 4 {
+	if got := r.optionalNumber("absent", 4); got != 4 {
 		t.Errorf("default %v", got)
 	}
 	if r.err != nil {
@@ -45,9 +45,9 @@
 	}{
 		{"", number, "setting zone is missing"},
 		{"zone=x", number, `zone="x" is not a number`},
-		{"zone=-1", integer, "is not a number from 0"},
-		{"zone=1e99", integer, "is not a number from 0"},
-		{"flag=maybe", func(r *reader) { r.boolean("flag") }, "neither true nor false"},
+		{"zone=-1", integer, "is not an integer from 0"},
+		{"zone=1e99", integer, "is not an integer from 0"},
+		{"flag=maybe", func(r *reader) { r.boolean("flag") }, "is not a boolean"},
 	} {
 		document, err := ParseLines([]byte(tt.text))
 		if err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-// JSON tells strings from numbers and booleans.
+// A string in JSON settings is accepted neither as a number nor as a boolean, even if its text is one.
 func TestStringsOfJSON(t *testing.T) {
 	document, err := ParseJSON([]byte(`{"a":"5","b":5,"c":"true","d":true}`))
 	if err != nil {
@@ -125,7 +125,7 @@
 		{"classes.1.window_ms=0", "classes.1.window_ms"},
 		{"classes.count=0", "classes has 0"},
 		{"classes.count=3", "classes.2"},
-		{"classes.1.name=read", "there twice"},
+		{"classes.1.name=read", "already the name of another class"},
 	} {
 		_, err := decodeSettings(settingstest.Lines("classes.0.name=read", "classes.1.name=pay", tt.change))
 		if err == nil || !strings.Contains(err.Error(), tt.want) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// The two sources give the same settings.
+// The same settings are decoded from path=value lines and from JSON.
 func TestSourcesAgree(t *testing.T) {
 	lines, err := decodeSettings("me=1\nreplicas_of_me=2\nzone=a_b\ndcs=a_b,c\ndiscovery=push\ngranularity_ms=5.0\n" +
 		"invariants.start_capacity=0.2\ninvariants.cold_ms=9\ninvariants.fall_multiple=3\ninvariants.fall_ms=1\n" +
--- a/internal/settings/settingstest/settingstest.go
+++ b/internal/settings/settingstest/settingstest.go
@@ -1,4 +1,4 @@
-// Package settingstest has valid settings and helpers for tests of code that reads settings.
+// Package settingstest provides valid settings and helpers for tests of code that reads settings.
 package settingstest
 
 import (
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// CheckErrorText compares the text of an error. "" stands for no error.
+// CheckErrorText reports a test error unless the text of err equals want. An empty want stands for no error.
 func CheckErrorText(t *testing.T, name string, err error, want string) {
 	t.Helper()
 	got := ""
@@ -19,8 +19,8 @@
 	}
 }
 
-// Lines returns valid settings as path=value lines, with all required settings. A change is path=value, or path= to
-// omit one.
+// Lines returns valid settings, with all that are required, as path=value lines. A change of the form path=value sets a
+// setting, and one of the form path= removes it.
 func Lines(changes ...string) string {
 	lines := map[string]string{
 		"me": "1", "replicas_of_me": "2", "zone": "0", "stage": "0", "discovery": "push", "granularity_ms": "5.0",
--- a/internal/simwire/doc.go
+++ b/internal/simwire/doc.go
@@ -1,4 +1,4 @@
-// Package simwire is the codec of the simulator's wire protocol: framed batches of events are read, framed replies of
-// actions are written. It knows layouts and codes, and maps the protocol's words to the terms of the other packages;
-// it makes no decisions. All numbers are little-endian, all times are in milliseconds.
+// Package simwire encodes and decodes the wire protocol of the simulator. It reads frames that contain a batch of events,
+// and writes frames that contain a reply with actions. The names of its types are the terms of this program; comments
+// give the protocol's own names. All numbers are little-endian. All times are in milliseconds.
 package simwire
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -7,49 +7,49 @@
 
 // Causes of a FrameError or a RecordError.
 var (
-	ErrFrameLength        = errors.New("impossible frame length")
-	ErrClockNotNumber     = errors.New("clock is not a number")
+	ErrFrameLength        = fmt.Errorf("is not from %d to %d bytes", batchHeaderSize, maxFrameSize)
+	ErrClockNotNumber     = errors.New("clock is not a finite number")
 	ErrUnknownEvent       = errors.New("unknown event code")
-	ErrUnknownUpdateKind  = errors.New("unknown kind of list")
-	ErrListNumber         = errors.New("list number")
-	ErrContentBeyondFrame = errors.New("lies beyond the tail")
+	ErrUnknownUpdateKind  = errors.New("unknown kind of endpoint update")
+	ErrListNumber         = fmt.Errorf("is not from 0 to %d", MaxEndpointLists-1)
+	ErrContentBeyondFrame = errors.New("extends beyond the tail")
 )
 
-// HeaderError says that the input ended in the header of a batch.
+// HeaderError is the error for input that ends within the header of a batch.
 type HeaderError struct {
-	PreviousBatch uint32
-	Received      int // bytes of the header
-	Err           error
+	PreviousBatch uint32 // number of the previous batch; 0 if there is none
+	Received      int    // number of header bytes that were received
+	Err           error  // error that reading the input returned
 }
 
-// Error names the batch before and how much of the header was received.
+// Error returns a text with the number of the previous batch and the number of header bytes that were received.
 func (e *HeaderError) Error() string {
-	return fmt.Sprintf("after batch %d: header cut off after %d of %d bytes", e.PreviousBatch, e.Received, batchHeaderSize)
+	return fmt.Sprintf("after batch %d: incomplete header: received %d of %d bytes", e.PreviousBatch, e.Received, batchHeaderSize)
 }
 
-// Unwrap returns the error of the input.
+// Unwrap returns the error that reading the input returned.
 func (e *HeaderError) Unwrap() error { return e.Err }
 
-// FrameError is a batch whose frame is malformed or incomplete.
+// FrameError is the error for a batch whose frame is malformed or incomplete.
 type FrameError struct {
-	Batch uint32
-	Err   error
+	Batch uint32 // number of the batch
+	Err   error  // what is wrong with the frame
 }
 
-// Error names the batch and what is wrong with it.
+// Error returns a text with the number of the batch and what is wrong with its frame.
 func (e *FrameError) Error() string { return fmt.Sprintf("batch %d: %v", e.Batch, e.Err) }
 
 // Unwrap returns what is wrong with the frame.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// RecordError is a record of a batch that can't be decoded or handled.
+// RecordError is the error for a record of a batch that can't be decoded or handled.
 type RecordError struct {
-	Batch  uint32
-	Record int // from 0 on
-	Err    error
+	Batch  uint32 // number of the batch
+	Record int    // index of the record in the batch, counted from 0
+	Err    error  // what is wrong with the record
 }
 
-// Error names the batch, the record and what is wrong with it.
+// Error returns a text with the number of the batch, the index of the record and what is wrong with it.
 func (e *RecordError) Error() string {
 	return fmt.Sprintf("batch %d, record %d: %v", e.Batch, e.Record, e.Err)
 }
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// InstanceID is the number of an instance in the simulation.
+// InstanceID is the number of a balancer instance in the simulation.
 type InstanceID uint16
 
-// Codes of the events. The comments are the protocol's names.
+// Codes of the events. The comments give the protocol's names for them.
 const (
 	codeInstanceStarted   = 10  // POWER_ON
 	codeEndpointUpdate    = 20  // ANNOUNCE
@@ -20,15 +20,16 @@
 	codeEndpointSnapshot  = 110 // INVENTORY
 )
 
-// MaxEndpointLists is how many endpoint lists may be numbered at the same time.
+// MaxEndpointLists is the number of endpoint lists that the simulator can use at the same time. They are numbered from 0.
 const MaxEndpointLists = 16
 
-// Event is a pointer to one of the event types of this package.
+// Event is an event that the simulator sends to an instance: a pointer to one of the event types of this package.
 type Event interface {
+	// decode sets the event's fields to those of a record.
 	decode(r record) error
 }
 
-// eventBuffer holds an event of each type, so that decoding allocates nothing.
+// eventBuffer holds one event of each type, so that decoding an event allocates no memory.
 type eventBuffer struct {
 	instanceStarted   InstanceStarted
 	endpointUpdate    EndpointUpdate
@@ -43,7 +44,7 @@
 	endpointSnapshot  EndpointSnapshot
 }
 
-// forCode returns the event to decode a record of a code into, nil if the code is unknown.
+// forCode returns the event into which a record with a code is decoded, or nil if the code is unknown.
 func (b *eventBuffer) forCode(code uint8) Event {
 	switch code {
 	case codeInstanceStarted:
@@ -73,9 +74,9 @@
 	}
 }
 
-// InstanceStarted says that an instance starts without any state.
+// InstanceStarted reports that an instance starts, without state from an earlier run.
 type InstanceStarted struct {
-	Seed     uint64 // of the random numbers of the instance
+	Seed     uint64 // of the instance's random number generator
 	Settings []byte // path=value lines
 }
 
@@ -85,23 +86,23 @@
 	return err
 }
 
-// InstanceKilled says that an instance is gone.
+// InstanceKilled reports that an instance was killed.
 type InstanceKilled struct{}
 
 func (*InstanceKilled) decode(record) error { return nil }
 
-// RequestArrived says that a client's request has reached an instance.
+// RequestArrived reports that an instance has received a request from a client.
 type RequestArrived struct {
 	Request      uint32
 	Class        uint8
 	Tenant       uint16
-	Key          uint64  // 0: none
-	ExpiresIn    float64 // ms until the client gives up
-	ExpectedWork float64 // ms
+	Key          uint64  // idempotency key; 0 if the request has none
+	ExpiresIn    float64 // ms until the client stops waiting
+	ExpectedWork float64 // expected processing time in ms; only with HasExpectedWork
 	Flags        RequestFlags
 }
 
-// RequestFlags are properties of a request.
+// RequestFlags is a set of properties of a request.
 type RequestFlags uint8
 
 // The flags of a request.
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// ResponseStarted says that the response of an attempt has begun to stream.
+// ResponseStarted reports that an attempt has received the first part of a streamed response.
 type ResponseStarted struct {
 	Request  uint32
 	Attempt  uint16
@@ -142,14 +143,14 @@
 	return nil
 }
 
-// AttemptEnded says how an attempt ended.
+// AttemptEnded reports the outcome of an attempt.
 type AttemptEnded struct {
 	Request     uint32
 	Attempt     uint16
 	Upstream    uint32
 	Outcome     OutcomeCode
 	Elapsed     float64 // ms since the attempt was sent
-	RequestDone bool    // this was the final answer
+	RequestDone bool    // whether the request now has its final response
 	LoadReport  LoadReport
 }
 
@@ -166,7 +167,8 @@
 	return err
 }
 
-// ClientCancelled says that the client of a request is gone, or that its final answer is overdue.
+// ClientCancelled reports that a request no longer needs a response, because its client has disconnected or its deadline
+// has passed.
 type ClientCancelled struct {
 	Request uint32
 }
@@ -176,9 +178,9 @@
 	return nil
 }
 
-// TimerFired says that a timer has expired.
+// TimerFired reports that a timer which Reply.SetTimer has set has expired.
 type TimerFired struct {
-	Timer uint64
+	Timer uint64 // id that was passed to Reply.SetTimer
 }
 
 func (e *TimerFired) decode(r record) error {
@@ -186,10 +188,10 @@
 	return nil
 }
 
-// HealthCheckResult is the result of a health check of an upstream.
+// HealthCheckResult reports the result of a health check of an upstream.
 type HealthCheckResult struct {
 	Outcome    OutcomeCode
-	Elapsed    float64 // ms
+	Elapsed    float64 // ms that the health check took
 	Upstream   uint32
 	LoadReport LoadReport
 }
@@ -202,9 +204,9 @@
 	return err
 }
 
-// GossipReceived is a message from another instance.
+// GossipReceived reports a message from another instance.
 type GossipReceived struct {
-	Peer    uint32
+	Peer    uint32 // instance that sent the message
 	Content []byte
 }
 
@@ -214,22 +216,23 @@
 	return err
 }
 
-// EndpointUpdate refers to the endpoint list that an instance receives from discovery.
+// EndpointUpdate reports an update of the endpoint list that an instance receives from discovery. Its endpoints are in the
+// EndpointSnapshot that was sent last with the same list number.
 type EndpointUpdate struct {
-	ListNumber uint32 // number of the EndpointSnapshot that has the endpoints
+	ListNumber uint32 // number of the EndpointSnapshot
 	Kind       UpdateKind
-	Version    uint64
+	Version    uint64 // version of the endpoint list
 }
 
-// UpdateKind says how an endpoint list relates to the one that an instance has.
+// UpdateKind is the kind of an endpoint update.
 type UpdateKind uint8
 
-// The kinds of updates.
+// The kinds of endpoint updates.
 const (
-	Delta       UpdateKind = iota // the changed endpoints
+	Delta       UpdateKind = iota // the endpoints that have changed
 	Complete                      // all endpoints
-	Cached                        // all endpoints as they were known last, which may be outdated
-	WatchFailed                   // no endpoints: a call of discovery failed or the watch was interrupted
+	Cached                        // all endpoints of the last known list, which may be outdated
+	WatchFailed                   // no endpoints: a call to discovery failed or the watch was interrupted
 )
 
 func (e *EndpointUpdate) decode(r record) error {
--- a/internal/simwire/event_test.go
+++ b/internal/simwire/event_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestEvents(t *testing.T) {
-	batch := mustReadBatch(t, threeBatch, 3)
+	batch := mustReadBatch(t, threeEventBatch, 3)
 	checkEvent(t, batch, 0, 3, RequestArrived{
 		Request:      0x5d3a91c4,
 		Key:          0x91f03b7c55d20a64,
@@ -19,7 +19,7 @@
 }
 
 func TestEndpointList(t *testing.T) {
-	batch := mustReadBatch(t, listBatch, 2)
+	batch := mustReadBatch(t, endpointListBatch, 2)
 	_, event, err := batch.Event(0)
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 }
 
 func TestAttemptEnded(t *testing.T) {
-	batch := mustReadBatch(t, outcomeBatch, 1)
+	batch := mustReadBatch(t, attemptEndedBatch, 1)
 	checkEvent(t, batch, 0, 3, AttemptEnded{
 		Request:     0x5d3a91c4,
 		Upstream:    0x03124a07,
@@ -63,9 +63,9 @@
 	}
 }
 
-// Decoding reuses the memory of the batch.
+// Decoding the events of a batch allocates no memory.
 func TestDecodingDoesNotAllocate(t *testing.T) {
-	for _, text := range []string{threeBatch, listBatch, outcomeBatch} {
+	for _, text := range []string{threeEventBatch, endpointListBatch, attemptEndedBatch} {
 		batch, err := readBatch(fromHex(t, text))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -7,33 +7,33 @@
 	"math"
 )
 
-// Sizes of the parts of a batch, in bytes.
+// Sizes in bytes.
 const (
-	batchHeaderSize = 20
-	eventSize       = 48
-	maxFrameSize    = 256 << 20
-	initialCapacity = 64 << 10
-	readStep        = 1 << 20 // what is allocated ahead of the bytes that were received
+	batchHeaderSize   = 20        // of the header of a batch
+	eventSize         = 48        // of an encoded event
+	maxFrameSize      = 256 << 20 // of the largest frame that is accepted
+	initialBufferSize = 64 << 10  // of the buffer that is allocated for the first batch
+	readChunkSize     = 1 << 20   // of the largest part of a frame that is read at once
 )
 
-// Batch is one frame of events.
+// Batch is a frame of events. The zero value is ready for Read.
 type Batch struct {
-	Clock  float64 // ms
+	Clock  float64 // time of the events, in ms
 	Number uint32
 
-	records []byte // followed by the tail
-	count   int
+	records []byte // encoded events, followed by the tail of the frame, which has content of variable length
+	count   int    // number of events
 	events  eventBuffer
 }
 
-// Len returns the number of events.
+// Len returns the number of events in the batch.
 func (b *Batch) Len() int { return b.count }
 
-// Read reads the next batch and reuses the memory of the one before. It returns io.EOF if the input ends between two
-// batches, else a *HeaderError or a *FrameError.
+// Read reads the next batch and reuses the memory of the previous one. It returns io.EOF if the input has ended before the
+// batch. Any other error is a *HeaderError or a *FrameError.
 func (b *Batch) Read(input io.Reader) error {
 	if cap(b.records) < batchHeaderSize {
-		b.records = make([]byte, 0, initialCapacity)
+		b.records = make([]byte, 0, initialBufferSize)
 	}
 	header := b.records[:batchHeaderSize]
 	received, err := io.ReadFull(input, header)
@@ -52,7 +52,7 @@
 	}
 	records, err := readBody(input, b.records[:0], int(size)-batchHeaderSize)
 	if err != nil {
-		return &FrameError{Batch: number, Err: fmt.Errorf("frame of %d bytes cut off: %w", size, err)}
+		return &FrameError{Batch: number, Err: fmt.Errorf("incomplete frame of %d bytes: %w", size, err)}
 	}
 	b.records = records
 	b.count = int(count)
@@ -61,12 +61,13 @@
 	return nil
 }
 
+// checkHeader checks the frame length in bytes, the number of records and the time that a header contains.
 func checkHeader(size, count uint32, clock float64) error {
 	if size < batchHeaderSize || size > maxFrameSize {
-		return fmt.Errorf("%w %d", ErrFrameLength, size)
+		return fmt.Errorf("frame length %d %w", size, ErrFrameLength)
 	}
 	if uint64(count)*eventSize > uint64(size)-batchHeaderSize {
-		return fmt.Errorf("%d records do not fit into a frame of %d bytes", count, size)
+		return fmt.Errorf("%d records do not fit in a frame of %d bytes", count, size)
 	}
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
 		return ErrClockNotNumber
@@ -74,11 +75,12 @@
 	return nil
 }
 
-// readBody reads a number of bytes in steps, so that a false length allocates little more than what is received.
+// readBody reads size bytes and returns them in buffer, or in a larger one if it is too small. It reads in chunks, so that
+// the memory allocated for a frame with a false length is not much more than the bytes that are received.
 func readBody(input io.Reader, buffer []byte, size int) ([]byte, error) {
 	for len(buffer) < size {
 		received := len(buffer)
-		end := min(size, received+readStep)
+		end := min(size, received+readChunkSize)
 		if cap(buffer) < end {
 			grown := make([]byte, received, max(end, min(size, 2*cap(buffer))))
 			copy(grown, buffer)
@@ -92,8 +94,9 @@
 	return buffer, nil
 }
 
-// Event decodes an event and returns it with the instance that it is for. An EndpointSnapshot is for no instance. The
-// event and the bytes that it refers to are valid until the next call of Event or Read. The error is a *RecordError.
+// Event decodes the event at an index and returns it with the instance to which it is addressed. An EndpointSnapshot is
+// not addressed to an instance. The event and the bytes that it refers to are valid until the next call of Event or Read.
+// The error is a *RecordError.
 func (b *Batch) Event(index int) (InstanceID, Event, error) {
 	r := record{
 		fields: b.records[index*eventSize : (index+1)*eventSize],
--- a/internal/simwire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -16,21 +16,21 @@
 
 func TestMalformed(t *testing.T) {
 	tests := []struct{ name, frame, want string }{
-		{"cut in the header", "14000000 0000", "after batch 0: header cut off after 6 of 20 bytes"},
-		{"length below the header", "13000000 00000000 00000000206ec040 07000000", "batch 7: impossible frame length 19"},
-		{"huge length", "ffffffff 00000000 00000000206ec040 07000000", "batch 7: impossible frame length 4294967295"},
-		{"cut in the body", threeBatch[:len(threeBatch)-2], "batch 12: frame of 164 bytes cut off: unexpected EOF"},
-		{"more records than bytes", "14000000 ffffffff 00000000206ec040 07000000", "batch 7: 4294967295 records do not fit into a frame of 20 bytes"},
-		{"clock not a number", "14000000 00000000 000000000000f87f 07000000", "batch 7: clock is not a number"},
+		{"incomplete header", "14000000 0000", "after batch 0: incomplete header: received 6 of 20 bytes"},
+		{"length shorter than the header", "13000000 00000000 00000000206ec040 07000000", "batch 7: frame length 19 is not from 20 to 268435456 bytes"},
+		{"huge length", "ffffffff 00000000 00000000206ec040 07000000", "batch 7: frame length 4294967295 is not from 20 to 268435456 bytes"},
+		{"incomplete body", threeEventBatch[:len(threeEventBatch)-2], "batch 12: incomplete frame of 164 bytes: unexpected EOF"},
+		{"more records than bytes", "14000000 ffffffff 00000000206ec040 07000000", "batch 7: 4294967295 records do not fit in a frame of 20 bytes"},
+		{"clock not a number", "14000000 00000000 000000000000f87f 07000000", "batch 7: clock is not a finite number"},
 		{"unknown code", "44000000 01000000 00000000206ec040 07000000 09" + zeros(47), "batch 7, record 0: unknown event code 9"},
-		{"list number", "44000000 01000000 00000000206ec040 07000000 6e 10000000" + zeros(43), "batch 7, record 0: list number 16"},
-		{"offset beyond the tail", "44000000 01000000 00000000206ec040 07000000 6e 00000000 01000000" + zeros(39), "batch 7, record 0: content at 1 of 0 bytes lies beyond the tail of 0"},
+		{"list number", "44000000 01000000 00000000206ec040 07000000 6e 10000000" + zeros(43), "batch 7, record 0: endpoint list number 16 is not from 0 to 15"},
+		{"offset beyond the tail", "44000000 01000000 00000000206ec040 07000000 6e 00000000 01000000" + zeros(39), "batch 7, record 0: content of 0 bytes at offset 1 extends beyond the tail of 0 bytes"},
 		{"count beyond the tail", "44000000 01000000 00000000206ec040 07000000 6e 00000000 00000000 ffffffff" + zeros(35),
-			"batch 7, record 0: content at 0 of 94489280490 bytes lies beyond the tail of 0"},
+			"batch 7, record 0: content of 94489280490 bytes at offset 0 extends beyond the tail of 0 bytes"},
 		{"settings beyond the tail", "44000000 01000000 00000000206ec040 07000000 0a 0300" + zeros(8) + "ffffffff ffffffff" + zeros(29),
-			"batch 7, record 0: content at 4294967295 of 4294967295 bytes lies beyond the tail of 0"},
-		{"report of five", "44000000 01000000 00000000206ec040 07000000 32" + zeros(23) + "05" + zeros(23), "batch 7, record 0: load report of 5 values"},
-		{"kind of list", "44000000 01000000 00000000206ec040 07000000 14" + zeros(6) + "04" + zeros(40), "batch 7, record 0: unknown kind of list 4"},
+			"batch 7, record 0: content of 4294967295 bytes at offset 4294967295 extends beyond the tail of 0 bytes"},
+		{"load report of five values", "44000000 01000000 00000000206ec040 07000000 32" + zeros(23) + "05" + zeros(23), "batch 7, record 0: load report has 5 values, but at most 4 are allowed"},
+		{"unknown kind of update", "44000000 01000000 00000000206ec040 07000000 14" + zeros(6) + "04" + zeros(40), "batch 7, record 0: unknown kind of endpoint update 4"},
 	}
 	for _, tt := range tests {
 		batch, err := readBatch(fromHex(t, tt.frame))
@@ -72,7 +72,7 @@
 	}
 }
 
-// A false length must not allocate much memory before the bytes are received.
+// A header with a false frame length must not make Read allocate more than 4 MiB before it receives the rest of the frame.
 func TestFalseLengthAllocatesLittle(t *testing.T) {
 	batch, err := readBatch(fromHex(t, "ffffff0f 00000000 00000000206ec040 07000000"))
 	if err == nil || cap(batch.records) > 4<<20 {
@@ -81,7 +81,7 @@
 }
 
 func FuzzBatch(f *testing.F) {
-	for _, text := range []string{emptyBatch, threeBatch, listBatch, outcomeBatch} {
+	for _, text := range []string{emptyBatch, threeEventBatch, endpointListBatch, attemptEndedBatch} {
 		f.Add(fromHex(f, text))
 	}
 	f.Fuzz(func(t *testing.T, input []byte) {
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -6,10 +6,10 @@
 	"math"
 )
 
-// record gives access to the fields of an event, by the offsets of the protocol's specification.
+// record is an encoded event. Its methods decode the field at an offset in bytes from the start of the record.
 type record struct {
-	fields []byte
-	tail   []byte // of the frame
+	fields []byte // the record itself, of a fixed size
+	tail   []byte // the part of the frame behind all records, which has content of variable length
 }
 
 func (r record) uint8(offset int) uint8     { return r.fields[offset] }
@@ -18,20 +18,22 @@
 func (r record) uint64(offset int) uint64   { return getUint64(r.fields, offset) }
 func (r record) float64(offset int) float64 { return getFloat64(r.fields, offset) }
 
-// content returns the part of the tail that a field refers to, by its start in bytes and its length in items.
+// content returns the part of the tail that a field refers to. The field has the start of the content in the tail, in
+// bytes, and its number of items. itemSize is the size of an item in bytes.
 func (r record) content(offset, itemSize int) ([]byte, error) {
 	start := uint64(r.uint32(offset))
 	size := uint64(r.uint32(offset+4)) * uint64(itemSize)
 	if start+size > uint64(len(r.tail)) {
-		return nil, fmt.Errorf("content at %d of %d bytes %w of %d", start, size, ErrContentBeyondFrame, len(r.tail))
+		return nil, fmt.Errorf("content of %d bytes at offset %d %w of %d bytes", size, start, ErrContentBeyondFrame, len(r.tail))
 	}
 	return r.tail[start : start+size], nil
 }
 
+// loadReport decodes a load report: the number of values in one byte, then the values.
 func (r record) loadReport(offset int) (LoadReport, error) {
 	report := LoadReport{count: int(r.uint8(offset))}
 	if report.count > len(report.values) {
-		return LoadReport{}, fmt.Errorf("load report of %d values", report.count)
+		return LoadReport{}, fmt.Errorf("load report has %d values, but at most %d are allowed", report.count, maxLoadValues)
 	}
 	for i := range report.count {
 		report.values[i] = getFloat32(r.fields, offset+1+4*i)
--- a/internal/simwire/reply_test.go
+++ b/internal/simwire/reply_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestReplies(t *testing.T) {
+func TestWriteReply(t *testing.T) {
 	var r Reply
 	tests := []struct {
 		name  string
@@ -23,7 +23,7 @@
 			"46 0300 c4913a5d 074a1203 0000000000005440" + zeros(5) +
 			"50 0300 0000000000407f40 4d00000000000000" + zeros(5) +
 			"32 0500 00000000 13000000" + zeros(13) + hex.EncodeToString([]byte("two servers unknown"))},
-		{"final answers", 2, func() {
+		{"final responses", 2, func() {
 			r.FailRequest(3, 0x0e6f2b19)
 			r.RejectRequest(3, 0x5d3a91c4, 250)
 			r.CancelAttempt(3, 0x5d3a91c4, 0)
