--- a/internal/downstream/dispatch.go
+++ b/internal/downstream/dispatch.go
@@ -62,7 +62,7 @@
 	if s.Trace.Enabled() {
 		s.Trace.Write(trace.RequestAccepted, trace.Event{Request: r.ID, Class: r.Class, Connection: c.fd, RemainingMS: x.RespondBy - s.Loop.Now()})
 	}
-	s.handler.RequestArrived(x)
+	s.handler.HandleRequest(x)
 }
 
 // startDeadline starts a request's deadline at the arrival of its last byte, however slowly it was sent.
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -41,7 +41,7 @@
 	respondBy    balance.Millis // as set last
 }
 
-func (s *testServer) RequestArrived(x *exchange.Exchange)     { s.accepted <- x }
+func (s *testServer) HandleRequest(x *exchange.Exchange)      { s.accepted <- x }
 func (s *testServer) RequestComplete(x *exchange.Exchange)    { s.completed <- x }
 func (s *testServer) ClientDisconnected(x *exchange.Exchange) { s.disconnected <- x }
 func (s *testServer) SetShutdownDeadline(at balance.Millis)   { s.respondBy = at }
--- a/internal/downstream/reader_test.go
+++ b/internal/downstream/reader_test.go
@@ -201,7 +201,7 @@
 	depth chan int
 }
 
-func (d depthRecorder) RequestArrived(x *exchange.Exchange) {
+func (d depthRecorder) HandleRequest(x *exchange.Exchange) {
 	d.depth <- runtime.Callers(0, make([]uintptr, 4096))
-	d.testServer.RequestArrived(x)
+	d.testServer.HandleRequest(x)
 }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -18,8 +18,8 @@
 
 // RequestHandler handles requests. Responses come back by the exchange.
 type RequestHandler interface {
-	// RequestArrived handles a new request. The response may be given before RequestArrived returns.
-	RequestArrived(*exchange.Exchange)
+	// HandleRequest handles a new request. The response may be given before HandleRequest returns.
+	HandleRequest(*exchange.Exchange)
 	// ClientDisconnected reports that the client no longer waits for its response, or that its body was rejected.
 	ClientDisconnected(*exchange.Exchange)
 	// RequestComplete reports the last byte of a request that was accepted without it.
--- a/internal/driver/events.go
+++ b/internal/driver/events.go
@@ -8,8 +8,8 @@
 	"salttrack/internal/trace"
 )
 
-// RequestArrived reports a new request to the Balancer. The final response may be sent before RequestArrived returns.
-func (d *Driver) RequestArrived(x *exchange.Exchange) {
+// HandleRequest reports a new request to the Balancer. The final response may be sent before HandleRequest returns.
+func (d *Driver) HandleRequest(x *exchange.Exchange) {
 	x.ID = d.nextRequestID()
 	d.exchanges[x.ID] = x
 	x.ClassRules = &d.classes[x.Class]
--- a/internal/driver/helpers_test.go
+++ b/internal/driver/helpers_test.go
@@ -129,7 +129,7 @@
 	x.Class = class
 	x.RespondBy = f.now + deadline
 	x.ClientDeadline = x.RespondBy + 10
-	f.driver.RequestArrived(x)
+	f.driver.HandleRequest(x)
 	return x
 }
 
--- a/internal/driver/shutdown_test.go
+++ b/internal/driver/shutdown_test.go
@@ -13,7 +13,7 @@
 	x.BodyIncomplete = true
 	x.RespondBy = f.now + 1e6
 	x.ClientDeadline = x.RespondBy
-	f.driver.RequestArrived(x)
+	f.driver.HandleRequest(x)
 	return x
 }
 
