--- a/cmd/benchlink/helpers_test.go
+++ b/cmd/benchlink/helpers_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Codes and sizes of the simulator's protocol. They are defined here again so that the tests don't check package simwire
-// against its own constants.
+// Codes and sizes of the simulator's protocol. The tests don't use the constants of package simwire,
+// so that a wrong constant in that package makes them fail.
 const (
 	eventInstanceStarted  = 10
 	eventEndpointUpdate   = 20
--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -15,8 +15,8 @@
 	errUnknownOutcome  = errors.New("unknown outcome")
 )
 
-// host runs the balancer instances of this process. The instances share only the endpoint lists, whose numbers are valid
-// for the whole process.
+// host runs the balancer instances of this process. The instances share only the endpoint lists.
+// The simulator numbers these for the whole process, not for each instance.
 type host struct {
 	instances map[simwire.InstanceID]instance
 	snapshots [simwire.MaxEndpointLists][]simwire.Endpoint // indexed by list number
@@ -33,8 +33,8 @@
 	return &host{instances: map[simwire.InstanceID]instance{}}
 }
 
-// serve handles the events of a batch in order and adds the resulting actions to the reply. The error is a
-// *simwire.RecordError.
+// serve handles the events of a batch in order and adds the resulting actions to the reply.
+// The error is a *simwire.RecordError.
 func (h *host) serve(batch *simwire.Batch, reply *simwire.Reply) error {
 	for i := range batch.Len() {
 		id, event, err := batch.Event(i)
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// handle handles one event. It starts and kills instances and stores endpoint lists. It delivers every other event, and
-// InstanceStarted as well, to the instance, so that the first actions of a new instance are added to the reply.
+// handle handles one event. It starts and removes instances, stores endpoint lists, and delivers all other events to
+// their instance. After a start it calls deliver too, which adds the first actions of the new instance to the reply.
 func (h *host) handle(id simwire.InstanceID, event simwire.Event, now balance.Millis, reply *simwire.Reply) error {
 	switch event := event.(type) {
 	case *simwire.EndpointSnapshot:
--- a/cmd/benchlink/translate.go
+++ b/cmd/benchlink/translate.go
@@ -71,8 +71,8 @@
 	return endpoints
 }
 
-// endpointState converts a state. An unknown state is converted to draining, so that no new request is forwarded to the
-// upstream.
+// endpointState converts the state of an endpoint. An unknown state is converted to draining,
+// so that no new request is forwarded to the upstream.
 func endpointState(state simwire.EndpointState) balance.EndpointState {
 	switch state {
 	case simwire.EndpointRemoved:
--- a/internal/driver/actions.go
+++ b/internal/driver/actions.go
@@ -98,8 +98,8 @@
 	})
 }
 
-// safeToRetryAfterExecution reports whether a client may safely retry a request of a class that an upstream may have
-// executed already.
+// safeToRetryAfterExecution reports whether a client may safely retry a request of a class
+// even if an upstream has already executed the request.
 func safeToRetryAfterExecution(class *balance.Class) bool {
 	switch class.Idempotency {
 	case balance.Idempotent:
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -60,8 +60,8 @@
 	shutdownTimer    *timer.Timer   // calls endAllExchanges at shutdownDeadline; nil unless a shutdown has set it
 }
 
-// New returns a driver with a new Balancer. Start must be called before the driver is used. Close must be called when
-// the driver is no longer used.
+// New returns a driver with a new Balancer.
+// Start must be called before the driver is used, and Close when it is no longer used.
 func New(o Options) *Driver {
 	d := &Driver{
 		now:              o.Now,
@@ -109,8 +109,8 @@
 // Exchanges returns the number of exchanges that are in progress or have attempts in flight.
 func (d *Driver) Exchanges() int { return len(d.exchanges) }
 
-// AttemptsInFlight returns the number of attempts in flight, without those whose response is being streamed to the
-// client. These have no timeout.
+// AttemptsInFlight returns the number of attempts in flight that have a timeout.
+// An attempt whose response is being streamed to the client has none and is not counted.
 func (d *Driver) AttemptsInFlight() int { return len(d.attemptTimeouts) }
 
 // PendingTimers returns the number of pending timers that the Balancer has set.
--- a/internal/driver/endpoints.go
+++ b/internal/driver/endpoints.go
@@ -7,9 +7,8 @@
 	"salttrack/balance"
 )
 
-// UpdateEndpoints applies an update of the endpoint list. It cancels the attempts that are waiting for a connection to
-// an upstream that is no longer ready, because the connection could be established long after the upstream has started
-// to drain.
+// UpdateEndpoints applies an update of the endpoint list. If an upstream is no longer ready, the attempts that are
+// waiting for a connection to it are cancelled: the connection could be established long after the start of draining.
 func (d *Driver) UpdateEndpoints(update balance.EndpointUpdate) {
 	d.counters.endpointUpdates.Inc()
 	readyBefore := slices.Sorted(maps.Keys(d.ready))
@@ -41,7 +40,7 @@
 	d.upstreams.CancelUnsent(id)
 }
 
-// Enable reverses Disable.
+// Enable reverses the effect of Disable.
 func (d *Driver) Enable(id balance.UpstreamID) {
 	delete(d.disabled, id)
 	d.balancer.OnEnable(d.now(), id)
--- a/internal/driver/events.go
+++ b/internal/driver/events.go
@@ -67,16 +67,15 @@
 	d.executeActions()
 }
 
-// Sendable reports whether an attempt may still be sent now that its connection is established. While the attempt was
-// waiting, the client may have disconnected, another attempt may have ended the exchange, or the upstream may have
-// started to drain.
+// Sendable reports whether an attempt that was waiting for its connection may still be sent. In the meantime the client
+// may have disconnected, another attempt may have ended the exchange, or the upstream may have started to drain.
 func (d *Driver) Sendable(a *exchange.Attempt) bool {
 	return d.upstreamUsable(a.Upstream) && a.Exchange.Sendable()
 }
 
-// ResponseStarted reports that an upstream has started a response that is too long to be buffered. The response is
-// streamed to the client while it is being received. It is therefore the final response, and the timeout of the attempt
-// is removed.
+// ResponseStarted reports that an upstream has started a response that is too long to be buffered.
+// The response is streamed to the client while it is being received. It is therefore the final response of the exchange,
+// and the attempt no longer has a timeout.
 func (d *Driver) ResponseStarted(a *exchange.Attempt, body *bodystream.Stream) {
 	x := a.Exchange
 	if a.Ended {
@@ -119,8 +118,8 @@
 	d.removeFinished(x)
 }
 
-// respondWithResult ends the exchange if the result of an attempt determines the final response. No decision of the
-// Balancer is needed in that case.
+// respondWithResult ends the exchange if the outcome of an attempt determines the final response:
+// OK and InvalidRequest do, while the Balancer decides what follows from any other outcome.
 func (d *Driver) respondWithResult(x *exchange.Exchange, result *exchange.Result) {
 	switch result.Outcome {
 	case balance.OK:
@@ -130,8 +129,7 @@
 	}
 }
 
-// finish ends an exchange with its final response. It reports false, without any effect, if the exchange has already
-// ended.
+// finish ends an exchange with its final response. It returns false and does nothing if the exchange has already ended.
 func (d *Driver) finish(x *exchange.Exchange, response exchange.Response) bool {
 	if !x.Respond(response) {
 		return false
--- a/internal/driver/invariants_test.go
+++ b/internal/driver/invariants_test.go
@@ -39,8 +39,8 @@
 	r.advance(balance.Millis(r.random.IntN(20)))
 }
 
-// checkSum checks that the number of requests received is the number that ended plus the number in progress.
-func (r *randomRun) checkSum() {
+// checkCounters checks that the number of requests received is the number that ended plus the number in progress.
+func (r *randomRun) checkCounters() {
 	r.t.Helper()
 	sum := r.value("requests_served") + r.value("requests_rejected") + r.value("requests_failed") +
 		r.value("requests_abandoned") + r.value("requests_in_progress")
@@ -49,8 +49,8 @@
 	}
 }
 
-// checkEnd checks that every request has one response, or none if it was abandoned, and that the driver holds no exchange
-// and no timeout.
+// checkEnd checks that every request has one response, or none if it was abandoned,
+// and that the driver holds no exchange and no timeout.
 func (r *randomRun) checkEnd() {
 	r.t.Helper()
 	for _, x := range r.received {
@@ -84,7 +84,7 @@
 		before := invariant.Violations()
 		for range 2000 {
 			r.step()
-			r.checkSum()
+			r.checkCounters()
 		}
 		r.advance(10000)
 		r.checkEnd()
--- a/internal/driver/requests_test.go
+++ b/internal/driver/requests_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// If an attempt ends while it is being started, the actions that follow from its end must wait until the current action
-// has been executed.
+// If an attempt ends while it is being started, the actions that follow from its end must wait
+// until the current action has been executed.
 func TestAttemptEndsWhileStarting(t *testing.T) {
 	f := newFixture(t, testConfig())
 	for range 30 { // fills the retry budget
@@ -92,8 +92,8 @@
 	}
 }
 
-// A request that an upstream finds invalid fails at once. It is not retried, and does not count as a failure of the
-// upstream.
+// A request that an upstream finds invalid fails at once.
+// It is not retried, and does not count as a failure of the upstream.
 func TestInvalidRequest(t *testing.T) {
 	f := newFixture(t, testConfig())
 	f.serve(20) // fills the retry budget and provides the samples that throttling needs
--- a/internal/driver/shutdown.go
+++ b/internal/driver/shutdown.go
@@ -8,12 +8,12 @@
 	"salttrack/internal/exchange"
 )
 
-// reasonShutdownDeadline is the reason of the responses that the driver sends at the shutdown deadline. The reasons of
-// all other responses are set by the Balancer.
+// reasonShutdownDeadline is the reason of the responses that the driver sends at the shutdown deadline.
+// The reasons of all other responses are set by the Balancer.
 const reasonShutdownDeadline balance.GiveUpReason = "shutdown deadline reached"
 
-// SetShutdownDeadline sets the time by which every exchange, whether in progress or started later, has its final
-// response. Further calls can make this deadline earlier but not later.
+// SetShutdownDeadline sets the time by which every exchange, in progress or started later, gets its final response.
+// Further calls can make this deadline earlier but not later.
 func (d *Driver) SetShutdownDeadline(deadline balance.Millis) {
 	if deadline >= d.shutdownDeadline {
 		return
@@ -28,8 +28,8 @@
 	}
 }
 
-// shortenDeadline sets an earlier deadline for the response of an exchange in progress, and shortens the timeouts of its
-// attempts in flight accordingly.
+// shortenDeadline sets an earlier deadline for the response of an exchange in progress.
+// Attempts in flight that would time out later get this deadline as their timeout.
 func (d *Driver) shortenDeadline(x *exchange.Exchange, deadline balance.Millis) {
 	x.RespondBy = deadline
 	for _, a := range x.Attempts {
@@ -42,8 +42,8 @@
 	d.executeActions()
 }
 
-// endAllExchanges ends every exchange in progress when the shutdown deadline is reached. A request that was never
-// executed is rejected; any other one fails.
+// endAllExchanges ends every exchange in progress when the shutdown deadline is reached.
+// A request that was never executed is rejected; any other one fails.
 func (d *Driver) endAllExchanges() {
 	for _, id := range slices.Sorted(maps.Keys(d.exchanges)) {
 		x := d.exchanges[id]
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -11,7 +11,7 @@
 // Disposition is the state of an exchange: in progress, or the way in which it ended.
 type Disposition uint8
 
-// The dispositions.
+// The dispositions of an exchange.
 const (
 	InProgress Disposition = iota // the exchange has not ended
 	Served                        // the final response is that of an upstream
@@ -43,8 +43,8 @@
 
 // Client is the client connection on which a request was received.
 type Client interface {
-	// Respond sends the final response of an exchange. It is called at most once per exchange, and never for an abandoned
-	// one.
+	// Respond sends the final response of an exchange. It is called at most once for an exchange,
+	// and not at all if the exchange is abandoned.
 	Respond(*Exchange, Response)
 	// Connected reports whether the client is still connected. It checks the state of the connection at the time of the
 	// call. If the client has disconnected, Connected reports this to the driver before it returns.
@@ -110,8 +110,8 @@
 // Finished reports whether the exchange has ended and has no attempts in flight.
 func (x *Exchange) Finished() bool { return x.disposition != InProgress && x.openAttempts == 0 }
 
-// NeverRan reports whether it is certain that no upstream has executed the request. It reports false while an attempt is
-// in flight.
+// NeverRan reports whether it is certain that no upstream has executed the request.
+// It returns false while an attempt is in flight.
 func (x *Exchange) NeverRan() bool {
 	for _, a := range x.Attempts {
 		if !a.NeverRan {
@@ -121,8 +121,8 @@
 	return true
 }
 
-// Respond ends the exchange. It sends the final response to the client unless the disposition is Abandoned. Only the
-// first call has an effect and returns true.
+// Respond ends the exchange. It sends the final response to the client unless the disposition is Abandoned.
+// Only the first call has an effect and returns true.
 func (x *Exchange) Respond(response Response) bool {
 	invariant.Check(response.Disposition != InProgress, "a final response has a final disposition")
 	if x.disposition != InProgress {
--- a/internal/settings/classes.go
+++ b/internal/settings/classes.go
@@ -70,7 +70,7 @@
 	return n.running.Classes[number].Removed && n.classes[number].Removed && !n.inUse(uint8(number))
 }
 
-// assign sets the class and the name at a number. The number may be one higher than the highest number so far.
+// assign gives a number to a class. The number may be one higher than the highest number so far.
 func (n *classNumbering) assign(number int, name string, class balance.Class) {
 	if number == len(n.classes) {
 		n.classes = append(n.classes, balance.Class{})
--- a/internal/settings/classes_test.go
+++ b/internal/settings/classes_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// drawSettings returns settings with one to six of ten possible classes. The number in the name of a class is its
-// priority weight.
+// drawSettings returns settings with one to six of ten possible classes.
+// The number in the name of a class is its priority weight.
 func drawSettings(t *rapid.T, label string) Settings {
 	var s Settings
 	numbers := rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 1, 6, rapid.ID[int]).Draw(t, label)
@@ -61,8 +61,8 @@
 	}
 }
 
-// When classes are added, removed and reordered, a class that remains keeps its number, and no class gets a number that
-// another class still uses.
+// When classes are added, removed and reordered, a class that remains keeps its number.
+// No class gets a number that another class still uses.
 func TestClassNumbers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := reloadModel{running: drawSettings(t, "first"), requests: map[uint8]string{}}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -13,8 +13,8 @@
 	defaultOverQuotaWeight                = 1.0
 )
 
-// Decode decodes and validates the settings of a document. The error is an *Error for the first setting that is missing
-// or invalid.
+// Decode decodes and validates the settings of a document.
+// The error is an *Error for the first setting that is missing or invalid.
 func Decode(document *Document) (Settings, error) {
 	r := &reader{document: document}
 	var s Settings
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -15,8 +15,8 @@
 	isString bool // a JSON string, which is accepted neither as a number nor as a boolean
 }
 
-// ParseLines parses lines of the form path=value, in which the simulator sends settings. Empty lines are ignored. The
-// error is a *SyntaxError.
+// ParseLines parses lines of the form path=value, in which the simulator sends settings. Empty lines are ignored.
+// The error is a *SyntaxError.
 func ParseLines(text []byte) (*Document, error) {
 	document := &Document{values: map[string]value{}}
 	for i, line := range strings.Split(string(text), "\n") {
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -28,7 +28,7 @@
 	Reason  error  // what is wrong: ErrMissing or another of the reasons in this file
 }
 
-// Error returns a text with the path of the setting, its value, what is wrong with it and which values are allowed.
+// Error returns a message with the path of the setting, its value, what is wrong with it and which values are allowed.
 func (e *Error) Error() string {
 	switch e.Reason {
 	case ErrMissing:
@@ -46,7 +46,7 @@
 	}
 }
 
-// Unwrap returns the Reason.
+// Unwrap returns the reason of the error.
 func (e *Error) Unwrap() error { return e.Reason }
 
 // SyntaxError is the error for settings that can't be parsed.
@@ -55,7 +55,7 @@
 	Err  error // what is wrong
 }
 
-// Error returns a text that says what is wrong, with the number of the line for path=value lines.
+// Error returns a message that says what is wrong, with the number of the line for path=value lines.
 func (e *SyntaxError) Error() string {
 	if e.Line == 0 {
 		return fmt.Sprintf("settings: not a valid JSON object: %v", e.Err)
--- a/internal/settings/json.go
+++ b/internal/settings/json.go
@@ -22,7 +22,7 @@
 	return document, nil
 }
 
-// add adds a decoded JSON value, with all that it contains, at a path.
+// add adds a decoded JSON value at a path. It adds an object or a list with all of its values.
 func (d *Document) add(path string, node any) {
 	switch node := node.(type) {
 	case nil:
--- a/internal/settings/missing.go
+++ b/internal/settings/missing.go
@@ -10,8 +10,8 @@
 var classPrefix = regexp.MustCompile(`^` + classesPath + `\.\d+\.`)
 
 // MissingPath returns the alphabetically first path that another document has and this one lacks, or "" if there is none.
-// The documents may have different classes. Each class of this document must have the settings that all classes of the
-// other one have.
+// The documents may have different classes: a class setting is missing if all classes of the other document have it
+// and a class of this document does not.
 func (d *Document) MissingPath(other *Document) string {
 	missing := append(d.missingOutsideClasses(other), d.missingInClasses(other)...)
 	if len(missing) == 0 {
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -8,26 +8,26 @@
 	"strings"
 )
 
-// maxInteger is the highest value of a count or an index. It fits in an int and limits the memory that is allocated for
-// lists.
+// maxInteger is the highest value of a count or an index.
+// It fits in an int and limits the memory that is allocated for lists.
 const maxInteger = 1 << 20
 
-// reader reads typed values from a document. It returns the zero value for a missing or malformed value and records only
-// the first error.
+// reader reads typed values from a document. It returns the zero value for a missing or malformed value.
+// It records only the first error.
 type reader struct {
 	document *Document
 	err      error // the first error, an *Error
 }
 
-// fail records an error for the value at a path, unless an earlier one has been recorded. allowed is empty if the reason
-// says which values are allowed.
+// fail records an error for the value at a path, unless an earlier error has been recorded.
+// allowed is a description of the allowed values; it is empty if the reason contains one.
 func (r *reader) fail(path string, reason error, allowed string) {
 	if r.err == nil {
 		r.err = &Error{Path: path, Value: r.document.values[path].text, Allowed: allowed, Reason: reason}
 	}
 }
 
-// required returns the value at a path. It is an error if there is none.
+// required returns the value at a path, whatever its type. It is an error if there is none.
 func (r *reader) required(path string) value {
 	value, ok := r.document.values[path]
 	if !ok {
@@ -36,7 +36,7 @@
 	return value
 }
 
-// number returns a required number.
+// number returns the number at a path. It is an error if there is none.
 func (r *reader) number(path string) float64 {
 	value := r.required(path)
 	number, err := strconv.ParseFloat(value.text, 64)
@@ -55,7 +55,7 @@
 	return r.number(path)
 }
 
-// integer returns a required number from 0 to maxInteger.
+// integer returns the integer at a path. It is an error if there is none or if it is not from 0 to maxInteger.
 func (r *reader) integer(path string) int {
 	number := r.number(path)
 	if number < 0 || number > maxInteger || number != math.Trunc(number) {
@@ -65,7 +65,7 @@
 	return int(number)
 }
 
-// boolean returns a required boolean.
+// boolean returns the boolean at a path. It is an error if there is none.
 func (r *reader) boolean(path string) bool {
 	value := r.required(path)
 	isBoolean := value.text == "true" || value.text == "false"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,7 +14,7 @@
 // maxClasses is the maximum number of classes. Class numbers are of type uint8.
 const maxClasses = math.MaxUint8 + 1
 
-// Values of Error.Allowed for numbers.
+// Descriptions of the allowed values of a numeric setting, for Error.Allowed.
 const (
 	allowedPositive    = "must be greater than 0"
 	allowedNotNegative = "must be 0 or greater"
--- a/internal/simwire/endpoint.go
+++ b/internal/simwire/endpoint.go
@@ -26,8 +26,8 @@
 	EndpointDraining
 )
 
-// EndpointSnapshot is an endpoint list with a number. Later EndpointUpdate events of any instance refer to the list by its
-// number. A new snapshot replaces the previous one with the same number.
+// EndpointSnapshot is an endpoint list with a number. Later EndpointUpdate events, of any instance, refer to the list
+// by its number. A new snapshot replaces the previous one with the same number.
 type EndpointSnapshot struct {
 	ListNumber uint32 // number of the list, less than MaxEndpointLists
 	endpoints  []byte // encoded endpoints
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -15,14 +15,14 @@
 	ErrContentBeyondFrame = errors.New("extends beyond the tail")
 )
 
-// HeaderError is the error for input that ends within the header of a batch.
+// HeaderError is the error of Batch.Read for input that ends within the header of a batch.
 type HeaderError struct {
 	PreviousBatch uint32 // number of the previous batch; 0 if there is none
 	Received      int    // number of header bytes that were received
 	Err           error  // error that reading the input returned
 }
 
-// Error returns a text with the number of the previous batch and the number of header bytes that were received.
+// Error returns a message with the number of the previous batch and the number of header bytes that were received.
 func (e *HeaderError) Error() string {
 	return fmt.Sprintf("after batch %d: incomplete header: received %d of %d bytes", e.PreviousBatch, e.Received, batchHeaderSize)
 }
@@ -30,13 +30,13 @@
 // Unwrap returns the error that reading the input returned.
 func (e *HeaderError) Unwrap() error { return e.Err }
 
-// FrameError is the error for a batch whose frame is malformed or incomplete.
+// FrameError is the error of Batch.Read for a batch whose frame is malformed or incomplete.
 type FrameError struct {
 	Batch uint32 // number of the batch
 	Err   error  // what is wrong with the frame
 }
 
-// Error returns a text with the number of the batch and what is wrong with its frame.
+// Error returns a message with the number of the batch and what is wrong with its frame.
 func (e *FrameError) Error() string { return fmt.Sprintf("batch %d: %v", e.Batch, e.Err) }
 
 // Unwrap returns what is wrong with the frame.
@@ -49,7 +49,7 @@
 	Err    error  // what is wrong with the record
 }
 
-// Error returns a text with the number of the batch, the index of the record and what is wrong with it.
+// Error returns a message with the number of the batch, the index of the record and what is wrong with the record.
 func (e *RecordError) Error() string {
 	return fmt.Sprintf("batch %d, record %d: %v", e.Batch, e.Record, e.Err)
 }
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -20,7 +20,7 @@
 	codeEndpointSnapshot  = 110 // INVENTORY
 )
 
-// MaxEndpointLists is the number of endpoint lists that the simulator can use at the same time. They are numbered from 0.
+// MaxEndpointLists is the maximum number of endpoint lists in use at the same time. They are numbered from 0.
 const MaxEndpointLists = 16
 
 // Event is an event that the simulator sends to an instance: a pointer to one of the event types of this package.
@@ -105,7 +105,7 @@
 // RequestFlags is a set of properties of a request.
 type RequestFlags uint8
 
-// The flags of a request.
+// The flags of a request, which can be combined.
 const (
 	HasExpectedWork RequestFlags = 1 << iota
 	IsClientRetry
@@ -167,8 +167,8 @@
 	return err
 }
 
-// ClientCancelled reports that a request no longer needs a response, because its client has disconnected or its deadline
-// has passed.
+// ClientCancelled reports that a request no longer needs a response,
+// because its client has disconnected or its deadline has passed.
 type ClientCancelled struct {
 	Request uint32
 }
@@ -216,8 +216,8 @@
 	return err
 }
 
-// EndpointUpdate reports an update of the endpoint list that an instance receives from discovery. Its endpoints are in the
-// EndpointSnapshot that was sent last with the same list number.
+// EndpointUpdate reports an update of the endpoint list that an instance receives from discovery.
+// Its endpoints are in the EndpointSnapshot that was sent last with the same list number.
 type EndpointUpdate struct {
 	ListNumber uint32 // number of the EndpointSnapshot
 	Kind       UpdateKind
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -9,11 +9,11 @@
 
 // Sizes in bytes.
 const (
-	batchHeaderSize   = 20        // of the header of a batch
-	eventSize         = 48        // of an encoded event
-	maxFrameSize      = 256 << 20 // of the largest frame that is accepted
-	initialBufferSize = 64 << 10  // of the buffer that is allocated for the first batch
-	readChunkSize     = 1 << 20   // of the largest part of a frame that is read at once
+	batchHeaderSize   = 20        // size of the header of a batch
+	eventSize         = 48        // size of an encoded event
+	maxFrameSize      = 256 << 20 // size of the largest frame that is accepted
+	initialBufferSize = 64 << 10  // size of the buffer that is allocated for the first batch
+	readChunkSize     = 1 << 20   // size of the largest part of a frame that is read at once
 )
 
 // Batch is a frame of events. The zero value is ready for Read.
@@ -29,8 +29,8 @@
 // Len returns the number of events in the batch.
 func (b *Batch) Len() int { return b.count }
 
-// Read reads the next batch and reuses the memory of the previous one. It returns io.EOF if the input has ended before the
-// batch. Any other error is a *HeaderError or a *FrameError.
+// Read reads the next batch and reuses the memory of the previous one.
+// It returns io.EOF if the input ends before the batch. Any other error is a *HeaderError or a *FrameError.
 func (b *Batch) Read(input io.Reader) error {
 	if cap(b.records) < batchHeaderSize {
 		b.records = make([]byte, 0, initialBufferSize)
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// readBody reads size bytes and returns them in buffer, or in a larger one if it is too small. It reads in chunks, so that
-// the memory allocated for a frame with a false length is not much more than the bytes that are received.
+// readBody reads size bytes into buffer, or into a larger buffer if it is too small, and returns the buffer.
+// It reads in chunks, so that a frame with a false length allocates little more memory than it has bytes.
 func readBody(input io.Reader, buffer []byte, size int) ([]byte, error) {
 	for len(buffer) < size {
 		received := len(buffer)
@@ -94,8 +94,9 @@
 	return buffer, nil
 }
 
-// Event decodes the event at an index and returns it with the instance to which it is addressed. An EndpointSnapshot is
-// not addressed to an instance. The event and the bytes that it refers to are valid until the next call of Event or Read.
+// Event decodes the event at an index and returns it with the instance to which it is addressed.
+// An EndpointSnapshot is not addressed to an instance, and its InstanceID has no meaning.
+// The event and the bytes that it refers to are valid until the next call of Event or Read.
 // The error is a *RecordError.
 func (b *Batch) Event(index int) (InstanceID, Event, error) {
 	r := record{
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -43,8 +43,8 @@
 	return fields
 }
 
-// ForwardRequest adds an action that forwards a request to an upstream. The timeout of the attempt is in ms; if it is 0,
-// the attempt may last until the deadline of the request.
+// ForwardRequest adds an action that forwards a request to an upstream.
+// The timeout of the attempt is in ms; if it is 0, the attempt may last until the deadline of the request.
 func (r *Reply) ForwardRequest(instance InstanceID, request, upstream uint32, timeout float64) {
 	fields := r.add(codeForwardRequest, instance)
 	putUint32(fields, 3, request)
@@ -52,8 +52,8 @@
 	putFloat64(fields, 11, timeout)
 }
 
-// RejectRequest adds an action that rejects a request, which tells the client that a retry is safe. retryAfter is the time
-// in ms after which the client should retry; if it is 0, the client is not told a time.
+// RejectRequest adds an action that rejects a request, which tells the client that a retry is safe.
+// retryAfter is the time in ms after which the client should retry; if it is 0, the client is not told a time.
 func (r *Reply) RejectRequest(instance InstanceID, request uint32, retryAfter float64) {
 	fields := r.add(codeRejectRequest, instance)
 	putUint32(fields, 3, request)
@@ -73,8 +73,8 @@
 	putUint16(fields, 7, attempt)
 }
 
-// SetTimer adds an action that sets a timer. The simulator sends the event TimerFired with the timer's id when the time
-// has passed, which is in ms.
+// SetTimer adds an action that sets a timer with an id.
+// The simulator sends the event TimerFired with this id after the given time in ms.
 func (r *Reply) SetTimer(instance InstanceID, after float64, timer uint64) {
 	fields := r.add(codeSetTimer, instance)
 	putFloat64(fields, 3, after)
@@ -90,8 +90,8 @@
 // Log adds an action that writes a line to the simulator's report.
 func (r *Reply) Log(instance InstanceID, text string) { r.addText(codeLog, instance, text) }
 
-// ReportPanic adds an action that tells the simulator that package balance has panicked. The simulator then ends the run
-// and shows the text.
+// ReportPanic adds an action that tells the simulator that package balance has panicked.
+// The simulator then ends the run and shows the text.
 func (r *Reply) ReportPanic(instance InstanceID, text string) {
 	r.addText(codeReportPanic, instance, text)
 }
--- a/internal/timer/timer.go
+++ b/internal/timer/timer.go
@@ -21,8 +21,8 @@
 	lastSequence uint64 // sequence number of the timer that was set last
 }
 
-// Set returns a new timer that runs a callback at a time, in ms by the caller's clock. Timers with the same time run in
-// the order in which they were set.
+// Set returns a new timer that runs a callback at a time, in ms by the caller's clock.
+// Timers with the same time run in the order in which they were set.
 func (h *Heap) Set(due float64, callback func()) *Timer {
 	h.lastSequence++
 	t := &Timer{due: due, sequence: h.lastSequence, callback: callback}
--- a/internal/timer/timer_test.go
+++ b/internal/timer/timer_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Timers run in the order of their times, timers with the same time in the order in which they were set. A stopped timer
-// does not run.
+// Timers run in the order of their times, and timers with the same time in the order in which they were set.
+// A stopped timer does not run.
 func TestOrder(t *testing.T) {
 	var h Heap
 	got := ""
@@ -48,8 +48,8 @@
 	}
 }
 
-// A callback can stop a timer that is due in the same call of Run. Stopping timers anywhere in the heap preserves the order
-// of the others.
+// A callback can stop a timer that is due in the same call of Run.
+// Stopping timers anywhere in the heap preserves the order of the others.
 func TestStopWhileRunning(t *testing.T) {
 	var h Heap
 	var second *Timer
