--- a/cmd/salttrack/kernel.go
+++ b/cmd/salttrack/kernel.go
@@ -11,4 +11,4 @@
 func loopKernel(machine loop.Kernel) (loop.Kernel, error) { return machine, nil }
 
 // recordFiles returns the calls by which hot restart records are written: the system's.
-func recordFiles(system hotrestart.Files) hotrestart.Files { return system }
+func recordFiles(system hotrestart.FileSystem) hotrestart.FileSystem { return system }
--- a/cmd/salttrack/kernel_faults.go
+++ b/cmd/salttrack/kernel_faults.go
@@ -24,7 +24,7 @@
 
 // recordFiles returns the calls by which hot restart records are written, with faults injected into them if there is a file of them.
 // loopKernel has returned the error of one that can't be read.
-func recordFiles(system hotrestart.Files) hotrestart.Files {
+func recordFiles(system hotrestart.FileSystem) hotrestart.FileSystem {
 	rules, err := faultinject.LoadFileRules(os.Getenv(faultsVariable))
 	if err != nil || len(rules) == 0 {
 		return system
--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -119,7 +119,7 @@
 	}
 	c.state = awaitingOverride
 	c.setTimeout(overrideTimeout, c.timeOut)
-	c.server.Overrides.SetDisabled(r.upstream, r.operation == disableUpstream, c.onOverrideDone)
+	c.server.Balancer.SetDisabled(r.upstream, r.operation == disableUpstream, c.onOverrideDone)
 }
 
 // onOverrideDone responds to the request for an override, unless it timed out or its client closed meanwhile.
--- a/internal/admin/helpers_test.go
+++ b/internal/admin/helpers_test.go
@@ -57,7 +57,7 @@
 	ts := &testServer{Rig: rig, overrides: overrides}
 	var s *Server
 	ts.Do(func() {
-		s = New(Options{Loop: rig.Loop, MaxConnections: maxConnections, Counters: &rig.Count, Overrides: overrides})
+		s = New(Options{Loop: rig.Loop, MaxConnections: maxConnections, Counters: &rig.Count, Balancer: overrides})
 		if err := s.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 			t.Error(err)
 		}
--- a/internal/admin/request.go
+++ b/internal/admin/request.go
@@ -65,9 +65,9 @@
 // check returns the error of a request that the balancer, as it is now, can't carry out.
 func (s *Server) check(r request) *HTTPError {
 	switch {
-	case r.operation == checkReadiness && !s.Overrides.Ready():
+	case r.operation == checkReadiness && !s.Balancer.Ready():
 		return errNotReady
-	case r.operation != checkReadiness && !s.Overrides.KnowsUpstream(r.upstream):
+	case r.operation != checkReadiness && !s.Balancer.KnowsUpstream(r.upstream):
 		return errUnknownUpstream
 	}
 	return nil
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -23,8 +23,8 @@
 	readBufferSize     = 4 << 10
 )
 
-// Overrides is the balancer that the server operates on. Its methods are called on the loop.
-type Overrides interface {
+// Balancer is the balancer that the server operates on. Its methods are called on the loop.
+type Balancer interface {
 	// Ready reports whether the balancer accepts new requests.
 	Ready() bool
 	// KnowsUpstream reports whether an upstream with the id was ever on the endpoint list.
@@ -39,7 +39,7 @@
 	Loop           *loop.Loop
 	MaxConnections int // open at once
 	Counters       *counter.Set
-	Overrides      Overrides
+	Balancer       Balancer
 }
 
 // Server accepts operators' connections. It owns its listening descriptor and those of its connections: Close closes them all.
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -29,11 +29,11 @@
 	lock      *os.File          // held, and owned, until Close
 	published []byte            // this process's record as it is stored, nil if there is none
 	reported  map[string]uint64 // hashes of the errors that were reported, by the process whose record has them
-	files     Files
+	files     FileSystem
 }
 
 // OpenDirectory joins the processes of the named balancer in a directory below the given one. Records are written by the given calls.
-func OpenDirectory(parent, balancer string, files Files) (*Directory, error) {
+func OpenDirectory(parent, balancer string, files FileSystem) (*Directory, error) {
 	hash := fnv.New64a()
 	hash.Write([]byte(balancer))
 	path := filepath.Join(parent, fmt.Sprintf("salttrack-%016x", hash.Sum64()))
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -12,7 +12,7 @@
 // openProcess joins the processes of a balancer.
 func openProcess(t *testing.T, parent, balancer string) *Directory {
 	t.Helper()
-	d, err := OpenDirectory(parent, balancer, SystemFiles{})
+	d, err := OpenDirectory(parent, balancer, OSFileSystem{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 	if _, err := os.Stat(exited.file(exited.process, recordEnding)); err != nil {
 		t.Error("the only copy is removed")
 	}
-	successor.files = SystemFiles{}
+	successor.files = OSFileSystem{}
 	if err := successor.Publish(want, []string{exited.process}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// Files are the calls by which records are written. Tests replace them, to fail or to stop at any call.
-type Files interface {
+// FileSystem is the calls by which records are written. Tests replace them, to fail or to stop at any call.
+type FileSystem interface {
 	// Write writes a complete file, and returns once it is on stable storage.
 	Write(path string, text []byte) error
 	// Rename renames a file, in place of the one that has the name.
@@ -17,11 +17,11 @@
 	Remove(path string) error
 }
 
-// SystemFiles are the calls of the operating system.
-type SystemFiles struct{}
+// OSFileSystem is the calls of the operating system.
+type OSFileSystem struct{}
 
 // Write writes and syncs a file.
-func (SystemFiles) Write(path string, text []byte) error {
+func (OSFileSystem) Write(path string, text []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
@@ -34,10 +34,10 @@
 }
 
 // Rename renames a file.
-func (SystemFiles) Rename(from, to string) error { return os.Rename(from, to) }
+func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Sync syncs a directory.
-func (SystemFiles) Sync(directory string) error {
+func (OSFileSystem) Sync(directory string) error {
 	f, err := os.Open(directory)
 	if err != nil {
 		return err
@@ -46,4 +46,4 @@
 }
 
 // Remove removes a file.
-func (SystemFiles) Remove(path string) error { return os.Remove(path) }
+func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
--- a/internal/hotrestart/replace.go
+++ b/internal/hotrestart/replace.go
@@ -10,7 +10,7 @@
 
 // replaceFile replaces a file, whose present text is given, nil if there is none. After a kill at any point the file is the old one or
 // the new one. With an error it is the old one, unless the system refuses to rename it back.
-func replaceFile(files Files, path string, old, text []byte) error {
+func replaceFile(files FileSystem, path string, old, text []byte) error {
 	if err := writeAndRename(files, path, text); err != nil {
 		return err
 	}
@@ -22,7 +22,7 @@
 }
 
 // restoreFile takes back a replacement that may not be on stable storage.
-func restoreFile(files Files, path string, old []byte) error {
+func restoreFile(files FileSystem, path string, old []byte) error {
 	if old == nil {
 		return files.Remove(path)
 	}
@@ -30,7 +30,7 @@
 }
 
 // writeAndRename writes a text to a temporary file, which then gets the name of the other.
-func writeAndRename(files Files, path string, text []byte) error {
+func writeAndRename(files FileSystem, path string, text []byte) error {
 	temporary := path + temporaryEnding
 	if err := files.Write(temporary, text); err != nil {
 		return err
--- a/internal/hotrestart/replace_test.go
+++ b/internal/hotrestart/replace_test.go
@@ -14,7 +14,7 @@
 
 // failingFiles are the system's, but that one call fails, or that the process is killed at it and makes no further call.
 type failingFiles struct {
-	SystemFiles
+	OSFileSystem
 	failAt     int   // the call, counted from 0
 	err        error // errKilled: this call and all further ones fail
 	writesHalf bool  // a failing write leaves half of its text
@@ -35,28 +35,28 @@
 		}
 		return f.err
 	}
-	return f.SystemFiles.Write(path, text)
+	return f.OSFileSystem.Write(path, text)
 }
 
 func (f *failingFiles) Rename(from, to string) error {
 	if f.fails() {
 		return f.err
 	}
-	return f.SystemFiles.Rename(from, to)
+	return f.OSFileSystem.Rename(from, to)
 }
 
 func (f *failingFiles) Sync(directory string) error {
 	if f.fails() {
 		return f.err
 	}
-	return f.SystemFiles.Sync(directory)
+	return f.OSFileSystem.Sync(directory)
 }
 
 func (f *failingFiles) Remove(path string) error {
 	if f.fails() {
 		return f.err
 	}
-	return f.SystemFiles.Remove(path)
+	return f.OSFileSystem.Remove(path)
 }
 
 // replacement is one case of TestReplacedCompletelyOrNot.
@@ -118,7 +118,7 @@
 		t.Errorf("%s: the peer reads %+v", r.name(), got)
 	}
 	if err != nil && r.err != errKilled {
-		writer.files = SystemFiles{}
+		writer.files = OSFileSystem{}
 		if err := writer.Publish(next, nil); err != nil {
 			t.Errorf("%s: %v when the calls no longer fail", r.name(), err)
 		}
--- a/internal/logqueue/queue.go
+++ b/internal/logqueue/queue.go
@@ -57,8 +57,8 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that were lost: dropped, or failed by the output.
-func (q *Queue) Dropped() uint64 {
+// Lost returns the number of lines that were lost: dropped, or failed by the output.
+func (q *Queue) Lost() uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.dropped + q.failed
--- a/internal/logqueue/queue_test.go
+++ b/internal/logqueue/queue_test.go
@@ -76,7 +76,7 @@
 	if q.Flush(time.Millisecond) {
 		t.Error("Flush reports success though the output is blocked")
 	}
-	dropped := q.Dropped()
+	dropped := q.Lost()
 	if dropped < lines-maxQueuedLines-1 || dropped >= lines {
 		t.Errorf("%d of %d lines dropped", dropped, lines)
 	}
@@ -128,8 +128,8 @@
 	o := &output{err: errors.New("broken pipe")}
 	q := New(o)
 	fmt.Fprintln(q, "lost")
-	if !q.Flush(flushTimeout) || q.Dropped() != 1 {
-		t.Errorf("%d lines lost, want 1", q.Dropped())
+	if !q.Flush(flushTimeout) || q.Lost() != 1 {
+		t.Errorf("%d lines lost, want 1", q.Lost())
 	}
 	o.setError(nil)
 	fmt.Fprintln(q, "written")
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -29,15 +29,15 @@
 
 // Config is the configuration of a balancer.
 type Config struct {
-	Name      string
-	Listen    netip.AddrPort
-	Discovery netip.AddrPort
-	Admin     netip.AddrPort // of the admin server; invalid: there is none
-	ListenFD  int            // an inherited listening socket, which the balancer serves on in place of Listen; -1: none
-	Seed      uint64         // of the random numbers
-	Limits    Limits
-	Cached    *discovery.Update // the endpoint list as it was known last, which may be outdated
-	Settings  settings.Settings
+	Name            string
+	Listen          netip.AddrPort
+	Discovery       netip.AddrPort
+	Admin           netip.AddrPort // of the admin server; invalid: there is none
+	ListenFD        int            // an inherited listening socket, which the balancer serves on in place of Listen; -1: none
+	Seed            uint64         // of the random numbers
+	Limits          Limits
+	CachedEndpoints *discovery.Update // the endpoint list as it was known last, which may be outdated
+	Settings        settings.Settings
 
 	document *settings.Document         // the settings before they were decoded
 	keys     map[string]json.RawMessage // the values of the file, by top-level key
@@ -75,7 +75,7 @@
 			Path:    listenFDVariable,
 			Value:   text,
 			Allowed: fmt.Sprintf("from %d on", minInheritedFD),
-			Err:     fmt.Errorf("%s %q %w", listenFDVariable, text, ErrNotADescriptor),
+			Err:     fmt.Errorf("%s %q %w", listenFDVariable, text, ErrInvalidDescriptor),
 		}
 	}
 	config.ListenFD = fd
--- a/internal/node/config_errors.go
+++ b/internal/node/config_errors.go
@@ -7,11 +7,11 @@
 
 // The reasons of a ConfigError that come from no other package.
 var (
-	ErrNoConfigFile   = errors.New("BALANCER_CONFIG is not set")
-	ErrNoSettings     = errors.New("settings are missing")
-	ErrLimitsTooLow   = fmt.Errorf("limits: at least %d sockets, %d MB and some of a core are needed", minSockets, minMemoryMB)
-	ErrLostKey        = errors.New("is missing, which the running one has")
-	ErrNotADescriptor = fmt.Errorf("is not a descriptor from %d on", minInheritedFD)
+	ErrNoConfigFile      = errors.New("BALANCER_CONFIG is not set")
+	ErrNoSettings        = errors.New("settings are missing")
+	ErrLimitsTooLow      = fmt.Errorf("limits: at least %d sockets, %d MB and some of a core are needed", minSockets, minMemoryMB)
+	ErrMissingKey        = errors.New("is missing, which the running one has")
+	ErrInvalidDescriptor = fmt.Errorf("is not a descriptor from %d on", minInheritedFD)
 )
 
 // ConfigError is a configuration that a balancer can't work with.
--- a/internal/node/config_errors_test.go
+++ b/internal/node/config_errors_test.go
@@ -137,7 +137,7 @@
 		err = again.verifyKeys(running)
 		settingstest.CheckErrorText(t, tt.old+" -> "+tt.replacement, err, wantText)
 		var configError *ConfigError
-		if err != nil && (!errors.As(err, &configError) || configError.Path != tt.want || !errors.Is(err, ErrLostKey)) {
+		if err != nil && (!errors.As(err, &configError) || configError.Path != tt.want || !errors.Is(err, ErrMissingKey)) {
 			t.Errorf("%s -> %s: %#v", tt.old, tt.replacement, err)
 		}
 	}
--- a/internal/node/config_parser.go
+++ b/internal/node/config_parser.go
@@ -114,14 +114,14 @@
 
 func (p *configParser) cachedEndpoints(f *file, config *Config) error {
 	if len(f.Known) == 0 || string(f.Known) == "null" {
-		config.Cached = &discovery.Update{Snapshot: true}
+		config.CachedEndpoints = &discovery.Update{Snapshot: true}
 		return nil
 	}
 	cached, err := discovery.ParseUpdate(f.Known)
 	if err != nil {
 		return p.fail("known", "", "", fmt.Errorf("known: %w", err))
 	}
-	config.Cached = cached
+	config.CachedEndpoints = cached
 	return nil
 }
 
--- a/internal/node/config_reload.go
+++ b/internal/node/config_reload.go
@@ -14,7 +14,7 @@
 	if path == "" {
 		return nil
 	}
-	return &ConfigError{Path: path, Err: fmt.Errorf("configuration: %s %w", path, ErrLostKey)}
+	return &ConfigError{Path: path, Err: fmt.Errorf("configuration: %s %w", path, ErrMissingKey)}
 }
 
 // missingPath returns the path of a key that the running configuration has and this one lacks, "" if there is none.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,7 +80,7 @@
 	})
 	n.createSides(r)
 	if c.Admin.IsValid() {
-		n.admin = admin.New(admin.Options{Loop: l, MaxConnections: r.maxAdminConnections(), Counters: &n.Counters, Overrides: n})
+		n.admin = admin.New(admin.Options{Loop: l, MaxConnections: r.maxAdminConnections(), Counters: &n.Counters, Balancer: n})
 	}
 	n.registerCounters()
 	return n
@@ -140,7 +140,7 @@
 
 // Start starts discovery and the admin server, and lets clients connect once the endpoint list is known.
 func (n *Node) Start() error {
-	n.onEndpointUpdate(n.config.Cached)
+	n.onEndpointUpdate(n.config.CachedEndpoints)
 	n.driver.Start()
 	n.endpoints.Start()
 	if n.peers != nil {
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -28,7 +28,7 @@
 	if n.endpoints.Synced() {
 		return true
 	}
-	return n.loop.Now() > n.started+n.syncTimeout() && len(n.config.Cached.Endpoints) > 0
+	return n.loop.Now() > n.started+n.syncTimeout() && len(n.config.CachedEndpoints.Endpoints) > 0
 }
 
 // syncTimeout is how long the start waits for discovery.
