--- a/cmd/salttrack/configuration_test.go
+++ b/cmd/salttrack/configuration_test.go
@@ -9,12 +9,12 @@
 	"salttrack/internal/node"
 )
 
-// environmentOf returns a lookup of variables.
+// environmentOf returns a function like os.Getenv for the given variables.
 func environmentOf(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
 
-// A configuration that can't be used has an error of one line, which names what is at fault.
+// The error of an invalid configuration is a single line that names the invalid value.
 func TestConfigurationErrors(t *testing.T) {
 	e := newEnvironment(t)
 	set := func(key string, v any) func(map[string]any) {
@@ -32,7 +32,7 @@
 		{"no settings", func(c map[string]any) { delete(c, "settings") }, "settings are missing"},
 		{"settings of another type", set("settings", []int{1}), "settings"},
 		{"setting missing", func(c map[string]any) { delete(settingsOf(c), "granularity_ms") }, "granularity_ms is missing"},
-		{"setting unknown word", func(c map[string]any) { settingsOf(c)["discovery"] = "guess" }, `discovery="guess"`},
+		{"setting with unknown value", func(c map[string]any) { settingsOf(c)["discovery"] = "guess" }, `discovery="guess"`},
 		{"class without name", func(c map[string]any) { delete(classOf(settingsOf(c), 0), "name") }, "classes.0.name"},
 		{"cached endpoint list", set("known", map[string]any{"members": []any{map[string]any{"id": "s", "phase": "asleep"}}}), "asleep"},
 	} {
@@ -44,7 +44,7 @@
 	}
 }
 
-// The program exits with status 1 and one line of log without a configuration that it can use.
+// Without a valid configuration the program logs one line and exits with status 1.
 func TestExitsWithoutConfiguration(t *testing.T) {
 	for _, variables := range [][]string{{}, {"BALANCER_CONFIG=/nowhere/config.json"}, {"BALANCER_CONFIG=" + os.Args[0]}} {
 		cmd := exec.Command(os.Args[0])
@@ -57,7 +57,8 @@
 	}
 }
 
-// Variables take precedence over the file, but for discovery's address in a reload, since the file is newer.
+// Environment variables take precedence over the file. The exception is the address of discovery in a reload, since the file is newer
+// than the variable.
 func TestEnvironmentPrecedence(t *testing.T) {
 	e := newEnvironment(t)
 	path := e.config(nil)
--- a/cmd/salttrack/connections_test.go
+++ b/cmd/salttrack/connections_test.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// maxDescriptors is the limit of a program with fewDescriptors.
+// maxDescriptors is the number of descriptors that withFewDescriptors allows.
 const maxDescriptors = 128
 
-// fewDescriptors limits descriptors and memory.
-func fewDescriptors(config map[string]any) {
+// withFewDescriptors changes a configuration to low limits of descriptors and memory.
+func withFewDescriptors(config map[string]any) {
 	config["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": maxDescriptors}
 }
 
-// descriptors counts the open descriptors of the program.
+// descriptors returns the number of open descriptors of the program.
 func (p *program) descriptors() int {
 	p.t.Helper()
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
@@ -31,7 +31,7 @@
 	return len(entries)
 }
 
-// openIdleConnections opens many connections that send nothing or half a request. The program's descriptors stay within their limit.
+// openIdleConnections opens n connections that send nothing or an incomplete request. It checks the limit of descriptors meanwhile.
 func (p *program) openIdleConnections(n int) []net.Conn {
 	p.t.Helper()
 	var idle []net.Conn
@@ -42,29 +42,30 @@
 			io.WriteString(conn, "GET /read HTTP/1.1\r\nX-Txn: half")
 		}
 		if n := p.descriptors(); n > maxDescriptors {
-			p.t.Fatalf("%d descriptors are open", n)
+			p.t.Fatalf("%d descriptors are open, the limit is %d", n, maxDescriptors)
 		}
 	}
 	return idle
 }
 
-// Far more clients than descriptors keep connections open and send nothing, or half a request: a client with a request is served, the
-// limit is kept, and a watch that breaks meanwhile has a descriptor for its successor, which brings the drain that was missed.
+// Guards against running out of descriptors through idle clients. More clients than there are descriptors hold connections without a
+// complete request. The limit is kept, a client with a complete request is served, and a broken watch still gets a descriptor to
+// reconnect, so that the balancer learns of a draining endpoint.
 func TestManyIdleClients(t *testing.T) {
 	e := newEnvironment(t, echo, echo)
-	p := start(t, e.config(fewDescriptors))
+	p := start(t, e.config(withFewDescriptors))
 	idle := p.openIdleConnections(400)
-	http.DefaultClient.CloseIdleConnections() // the next request has to come on a new connection
-	p.waitFor("a client among many idle ones is served", func() bool {
+	http.DefaultClient.CloseIdleConnections() // makes the next request open a new connection
+	p.waitFor("response to a client among many idle ones", func() bool {
 		status, _ := p.do("read", "1")
 		return status == 200
 	})
 	if n := p.descriptors(); n > maxDescriptors {
-		t.Errorf("%d descriptors are open", n)
+		t.Errorf("%d descriptors are open, the limit is %d", n, maxDescriptors)
 	}
 	e.breakWatches()
 	e.sendUpdate(`{"revision":2,"complete":false,"members":[` + e.endpoint(0, "terminating") + `]}`)
-	p.waitFor("the drain is known while idle clients use the descriptors", func() bool {
+	p.waitFor("the end of requests to a draining endpoint while idle clients use the descriptors", func() bool {
 		before, served := e.upstreams[0].requests.Load(), 0
 		for n := range 10 {
 			if status, _ := p.do("read", fmt.Sprint("d", n)); status == 200 {
@@ -82,7 +83,7 @@
 	}
 }
 
-// statusCounts counts responses by their status.
+// statusCounts counts responses by HTTP status.
 type statusCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -94,7 +95,7 @@
 	s.counts[status]++
 }
 
-// sendPayments sends three long requests on a connection, or as many as it lasts for, and counts their statuses.
+// sendPayments sends three requests with bodies of 60,000 bytes on a connection, until the balancer closes it. It counts the statuses.
 func (p *program) sendPayments(client int, statuses *statusCounts) {
 	conn, err := net.Dial("tcp", p.address)
 	if err != nil {
@@ -120,11 +121,12 @@
 	}
 }
 
-// Upstreams accept everything and respond to nothing: each request has one response in time, and neither descriptors nor memory run out.
+// Guards against exhausted descriptors and memory when all upstreams accept requests and never respond. Each request still gets one
+// response before its deadline.
 func TestUnresponsiveUpstreams(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	e := newEnvironment(t, hang, hang, hang)
-	p := start(t, e.config(fewDescriptors))
+	p := start(t, e.config(withFewDescriptors))
 	statuses := &statusCounts{counts: map[string]int{}}
 	var clients sync.WaitGroup
 	for client := range 150 {
@@ -132,10 +134,10 @@
 	}
 	clients.Wait()
 	if c := statuses.counts; c["502"] == 0 || len(c) > 2 || c["200"] > 0 {
-		t.Errorf("statuses %v", c)
+		t.Errorf("responses by status: %v, want 502 and at most one other, not 200", c)
 	}
 	if n := p.descriptors(); n > maxDescriptors {
-		t.Errorf("%d descriptors are open", n)
+		t.Errorf("%d descriptors are open, the limit is %d", n, maxDescriptors)
 	}
 	p.terminate()
 	c := p.latestCounters()
@@ -144,7 +146,7 @@
 	}
 }
 
-// Clients that send slowly delay no other client.
+// Clients that send their requests byte by byte do not delay other clients.
 func TestSlowClients(t *testing.T) {
 	e := newEnvironment(t, echo)
 	p := start(t, e.config(nil))
--- a/cmd/salttrack/drain_test.go
+++ b/cmd/salttrack/drain_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// SIGTERM: the requests in flight are served, and so are new ones for a time.
-func TestTerminated(t *testing.T) {
+// After SIGTERM the balancer serves the requests in flight, and accepts new ones for a limited time.
+func TestRequestsDuringShutdown(t *testing.T) {
 	entered, release := make(chan struct{}, 10), make(chan struct{})
 	e := newEnvironment(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Txn") == "slow" {
@@ -30,13 +30,13 @@
 	}()
 	<-entered
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.waitFor("not ready", func() bool { return p.readyStatus() == 503 })
+	p.waitFor("status 503 of GET /-/ready", func() bool { return p.readyStatus() == 503 })
 	p.expectStatus("read", "late", 200)
 	select {
 	case <-p.exited:
-		t.Fatal("exited with a request in flight")
+		t.Fatal("the program exited with a request in flight")
 	case status := <-responded:
-		t.Fatalf("status %d before the upstream's response", status)
+		t.Fatalf("the client got status %d before the upstream responded", status)
 	default:
 	}
 	close(release)
@@ -49,24 +49,24 @@
 	}
 }
 
-// persistentClient sends one request after the other on a connection, which it keeps until the balancer closes it. A request that meets
-// the close of a connection that has served others is sent again, once, on a new one.
+// persistentClient sends requests one after the other on a persistent connection. If the balancer closes a connection that was used
+// before, while a request is being sent, the client retries the request once on a new connection.
 type persistentClient struct {
 	address string
 	mayDial func() bool
 	conn    net.Conn
 	reader  *bufio.Reader
-	used    bool // the connection has served a request
+	used    bool // whether the connection has carried a response
 }
 
 // outcome is how a request of a persistentClient ended.
 type outcome struct {
-	sent      bool // it was written to a connection
-	responded bool // with a complete response
+	sent      bool // whether the request was written to a connection
+	responded bool // whether a complete response was received
 	err       error
 }
 
-// do sends a request.
+// do sends a request and waits for its response.
 func (c *persistentClient) do(id string) outcome {
 	var err error
 	for range 2 {
@@ -90,7 +90,7 @@
 	return outcome{sent: true, err: err}
 }
 
-// exchange sends a request and reads its response. Without the begin of a response there is none.
+// exchange sends a request and reads its response. The returned response is nil if its head was not received.
 func (c *persistentClient) exchange(id string) (*http.Response, error) {
 	if _, err := fmt.Fprintf(c.conn, "GET /read HTTP/1.1\r\nX-Txn: %s\r\nX-Lane: read\r\nX-Remaining: 5\r\n\r\n", id); err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 	return response, err
 }
 
-// dial opens a new connection, and reports whether there is one.
+// dial opens a new connection, unless new connections are no longer allowed, and reports whether it succeeded.
 func (c *persistentClient) dial() bool {
 	if !c.mayDial() {
 		return false
@@ -123,16 +123,16 @@
 	c.conn = nil
 }
 
-// loadTest is a program under the load of persistent clients.
+// loadTest is a program to which persistent clients send requests.
 type loadTest struct {
 	*program
 	mu           sync.Mutex
-	terminatedAt time.Time // when SIGTERM was sent, zero before
+	terminatedAt time.Time // time at which SIGTERM was sent, zero before that
 	responses    int
 }
 
-// connectDuration is for how long after SIGTERM new connections are opened: shorter than the platform's 400 ms, so that a slow machine
-// changes nothing.
+// connectDuration is the time after SIGTERM in which clients open new connections. It is shorter than the 400 ms of the platform, so that
+// a slow machine does not make the test fail.
 const connectDuration = 100 * time.Millisecond
 
 // mayDial reports whether clients may open new connections.
@@ -142,13 +142,13 @@
 	return l.terminatedAt.IsZero() || time.Since(l.terminatedAt) < connectDuration
 }
 
-// run sends requests, with pauses, until one has no response. None may be lost.
+// run sends requests with pauses until one gets no response. It reports an error if that request was sent.
 func (l *loadTest) run(client int) {
 	c := &persistentClient{address: l.address, mayDial: l.mayDial}
 	for n := 0; ; n++ {
 		o := c.do(fmt.Sprintf("%d-%d", client, n))
 		if o.sent && !o.responded {
-			l.t.Errorf("%d-%d was lost: %v", client, n, o.err)
+			l.t.Errorf("request %d-%d got no response: %v", client, n, o.err)
 		}
 		if !o.responded {
 			return
@@ -156,11 +156,11 @@
 		l.mu.Lock()
 		l.responses++
 		l.mu.Unlock()
-		time.Sleep(time.Duration(client) * time.Millisecond) // some clients are always busy, some often idle
+		time.Sleep(time.Duration(client) * time.Millisecond) // clients with low numbers are always busy, others are often idle
 	}
 }
 
-// sendSIGTERM sends SIGTERM.
+// sendSIGTERM sends SIGTERM to the program and records the time.
 func (l *loadTest) sendSIGTERM() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -168,15 +168,15 @@
 	l.terminatedAt = time.Now()
 }
 
-// Clients send requests while the balancer shuts down: no accepted request is lost.
-func TestTerminatedUnderLoad(t *testing.T) {
+// No request is lost when the balancer shuts down while clients send requests.
+func TestShutdownUnderLoad(t *testing.T) {
 	e := newEnvironment(t, echo, echo)
 	l := &loadTest{program: start(t, e.config(nil))}
 	var clients sync.WaitGroup
 	for client := range 40 {
 		clients.Go(func() { l.run(client) })
 	}
-	l.waitFor("clients at work", func() bool {
+	l.waitFor("200 responses", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.responses > 200
--- a/cmd/salttrack/faultlayer_test.go
+++ b/cmd/salttrack/faultlayer_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// withFaults lets a program inject faults, given as JSON.
+// withFaults makes a program inject faults. The parameter is the JSON text of a faults file.
 func withFaults(t *testing.T, faults string) startOption {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "faults.json")
@@ -23,7 +23,7 @@
 	return withVariable(faultsVariable + "=" + path)
 }
 
-// systemFaults are faults of system calls, and steps of the machine's clock.
+// systemFaults are faults of system calls, and steps of the system clock.
 var systemFaults = map[string]string{
 	"short":        `{"seed":1,"rules":[{"call":"read","errno":"short","share":0.7},{"call":"write","errno":"short","share":0.7}]}`,
 	"interrupted":  `{"seed":2,"rules":[{"call":"wait","errno":"EINTR","share":0.5},{"call":"read","errno":"EINTR","share":0.3},{"call":"write","errno":"EINTR","share":0.3}]}`,
@@ -35,10 +35,10 @@
 	"hour back":    `{"seed":8,"steps":[{"at_ms":100,"by_ms":-3600000}]}`,
 }
 
-// requestCounts are the responses to the requests of a test.
+// requestCounts counts the served and rejected requests of a test.
 type requestCounts struct{ served, rejected atomic.Int64 }
 
-// sendRequests sends requests of both classes, each of which has to be served or rejected.
+// sendRequests sends requests of both classes, and reports an error if one is neither served nor rejected.
 func (c *requestCounts) sendRequests(p *program, client int) {
 	for n := range 50 {
 		class := [...]string{"read", "pay"}[n%2]
@@ -48,14 +48,14 @@
 		case 503:
 			c.rejected.Add(1)
 		default:
-			p.t.Errorf("status %d", status)
+			p.t.Errorf("status %d, want 200 or 503", status)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// System calls fail or do less than was asked for, or the clock is stepped: every request is served or rejected, no upstream is blamed, and
-// the shutdown is graceful.
+// System calls fail or transfer fewer bytes than requested, or the system clock is stepped. Every request is still served or rejected, no
+// failure is attributed to an upstream, and the shutdown is graceful.
 func TestFaultLayer(t *testing.T) {
 	for name, faults := range systemFaults {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 			}
 			clients.Wait()
 			if counts.served.Load() < 350 {
-				t.Errorf("%d served, %d rejected of 400", counts.served.Load(), counts.rejected.Load())
+				t.Errorf("%d of 400 requests served and %d rejected, want at least 350 served", counts.served.Load(), counts.rejected.Load())
 			}
 			p.terminate()
 			if c := p.latestCounters(); c("invariant_violations") != 0 || c("requests_in_progress") != 0 || c("attempts_ended_connect_failed") != 0 {
@@ -78,18 +78,18 @@
 	}
 }
 
-// A file of faults that can't be used ends the program at its start.
-func TestFaultLayerScript(t *testing.T) {
+// The program exits at its start if the faults file is invalid.
+func TestFaultLayerInvalidFile(t *testing.T) {
 	e := newEnvironment(t, echo)
 	for _, faults := range []string{`{"rules":[{"call":"sleep","errno":"EIO"}]}`, `{"files":[{"call":"file_write","errno":"E"}]}`, `{"rule":[]}`, `{`} {
 		p := launch(t, e.config(nil), withFaults(t, faults))
 		if err := <-p.exited; err == nil || !strings.Contains(p.log.String(), "faults") {
-			t.Errorf("%s: exited with %v; log:\n%s", faults, err, p.log)
+			t.Errorf("%s: the program exited with %v; log:\n%s", faults, err, p.log)
 		}
 	}
 }
 
-// storageFaults are faults of the directory of records, for a time.
+// storageFaults are temporary faults of the directory that holds the hot restart records.
 var storageFaults = map[string]string{
 	"full":            `{"files":[{"call":"file_write","errno":"ENOSPC","from_ms":500,"for_ms":1500}]}`,
 	"rename fails":    `{"files":[{"call":"file_rename","errno":"EIO","from_ms":500,"for_ms":1500}]}`,
@@ -98,8 +98,8 @@
 	"slow, then full": `{"files":[{"call":"file_write","errno":"ENOSPC","delay_ms":100,"from_ms":500,"for_ms":1500}]}`,
 }
 
-// The directory of records is full, fails or is slow for a time: an override is stored and in force, or answered 503 and not in force.
-// Requests are served meanwhile, and later overrides are stored again.
+// The directory of the hot restart records is temporarily full, failing or slow. An override is either stored and in force, or rejected
+// with status 503 and not in force. Requests are served meanwhile, and later overrides are stored again.
 func TestFaultLayerFiles(t *testing.T) {
 	for name, faults := range storageFaults {
 		t.Run(name, func(t *testing.T) {
@@ -107,24 +107,24 @@
 			p := startReplaceable(t, e, withFaults(t, faults))
 			fails := name != "slow"
 			disabled, rejected := false, 0
-			for n := 0; n < 200 && (rejected == 0 || !disabled); n++ { // until one was rejected and a later one is stored
+			for n := 0; n < 200 && (rejected == 0 || !disabled); n++ { // until an override was rejected and a later one was stored
 				switch status := adminCall(p.admin, "upstreams/s-0/"+map[bool]string{false: "offline", true: "online"}[disabled]); status {
 				case 200:
 					disabled = !disabled
 				case 503:
 					rejected++
 				default:
-					t.Fatalf("status %d", status)
+					t.Fatalf("status %d, want 200 or 503", status)
 				}
 				if got := p.requestsToFirst(e, fmt.Sprintf("override-%d-", n)); disabled == (got != 0) {
-					t.Fatalf("disabled %v, and %d of 20 requests go there", disabled, got)
+					t.Fatalf("disabled is %v, but %d of 20 requests go to the upstream", disabled, got)
 				}
 				if !fails && n > 40 {
 					break
 				}
 			}
 			if rejected == 0 && fails {
-				t.Error("no override met the fault")
+				t.Error("no override was rejected because of the fault")
 			}
 			p.terminate()
 		})
--- a/cmd/salttrack/golden_test.go
+++ b/cmd/salttrack/golden_test.go
@@ -13,11 +13,11 @@
 	"salttrack/internal/goldentest"
 )
 
-// goldenConfig is a configuration that the program takes.
+// goldenConfig is a valid configuration.
 const goldenConfig = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","admin":"127.0.0.1:3","seed":"8c1f",
 	"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":0,"complete":true,"members":[]},"settings":` + settingsJSON + `}`
 
-// edit changes the value at a path of a configuration; nil removes it.
+// edit returns goldenConfig with another value at a path. The value nil removes the key.
 func edit(t *testing.T, value any, path ...any) string {
 	t.Helper()
 	var config any
@@ -50,8 +50,8 @@
 	goType  = regexp.MustCompile(`(type |struct field )(?:\w+\.)?[A-Za-z]\w+(\.|")`)
 )
 
-// runToExit runs the program by a configuration text and returns its exit status and its log, without times and names of Go types, and
-// with CONFIG in place of the configuration's path.
+// runToExit runs the program with a configuration text, and returns its exit status and its log. In the log, times are removed, Go type
+// names are replaced by TYPE, and the path of the configuration file by CONFIG.
 func runToExit(t *testing.T, config string, environment ...string) (int, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -71,18 +71,20 @@
 	return status, goType.ReplaceAllString(logTime.ReplaceAllString(text, ""), "${1}TYPE$2")
 }
 
-// configurationCase is a configuration text, and one variable that is added to the environment.
+// configurationCase is a case of TestGoldenConfigurationErrors.
 type configurationCase struct {
-	name, config, environment string
+	name        string
+	config      string // text of the configuration file
+	environment string // additional environment variable, as NAME=VALUE
 }
 
-// unusableConfigurations returns configurations that the program can't use.
-func unusableConfigurations(t *testing.T) []configurationCase { //revive:disable-line:function-length a table of cases
+// invalidConfigurations returns configurations that the program rejects.
+func invalidConfigurations(t *testing.T) []configurationCase { //revive:disable-line:function-length a table of cases
 	t.Helper()
 	return []configurationCase{
 		{name: "no configuration", environment: "BALANCER_CONFIG="},
 		{name: "no file", environment: "BALANCER_CONFIG=/nowhere/config.json"},
-		{name: "a folder", environment: "BALANCER_CONFIG=/"},
+		{name: "a directory", environment: "BALANCER_CONFIG=/"},
 		{name: "an empty file", config: ""},
 		{name: "a truncated file", config: goldenConfig[:100]},
 		{name: "an array", config: "[]"},
@@ -116,10 +118,10 @@
 	}
 }
 
-// The line that the program prints for a configuration that it can't use, to the byte, and its exit status 1.
+// For each invalid configuration the program exits with status 1, and the line that it logs equals the line in the golden file.
 func TestGoldenConfigurationErrors(t *testing.T) {
 	var transcript strings.Builder
-	for _, tt := range unusableConfigurations(t) {
+	for _, tt := range invalidConfigurations(t) {
 		status, log := runToExit(t, tt.config, tt.environment)
 		if status != 1 {
 			t.Errorf("%s: exit status %d, want 1", tt.name, status)
--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -13,47 +13,49 @@
 
 // Limits of one connection.
 const (
-	requestTimeout  balance.Millis = 10000 // for a request to arrive completely
-	overrideTimeout balance.Millis = 6000  // for an override to be answered: longer than its own timeout, whose error says more
-	writeTimeout    balance.Millis = 2000  // for the client to accept the response
-	lingerTimeout   balance.Millis = 500   // for the client to close after the response
+	requestTimeout  balance.Millis = 10000 // until a request has to be complete
+	overrideTimeout balance.Millis = 6000  // until an override has to be done; longer than package node's timeout, whose error says more
+	writeTimeout    balance.Millis = 2000  // until the client has to have received the response
+	lingerTimeout   balance.Millis = 500   // until the client has to close the connection after the response
 
 	maxReadsPerEvent = 4
 )
 
-// connectionState is what a connection is waiting for.
+// connectionState is the state of a connection.
 type connectionState uint8
 
 const (
 	receivingRequest connectionState = iota
-	awaitingOverride                 // the request is complete: further bytes are discarded
+	awaitingOverride                 // the request is complete and its override is being stored; bytes from the client are discarded
 	sendingResponse
-	lingering // the response is written: bytes are discarded until the client closes, since a reset could overtake the response
+	// lingering is the state after the response was written. Bytes from the client are discarded until it closes. To close the
+	// connection earlier could send a TCP reset, which can reach the client before the response.
+	lingering
 	closed
 )
 
 // connection is one client connection. It carries one request and its response.
 type connection struct {
 	server       *Server
-	fd           int // owned: close closes it
+	fd           int // descriptor, which the connection owns and closes
 	state        connectionState
-	lastActivity balance.Millis // when the last byte of the request was read
-	listElement  *list.Element  // in the server's connections
-	timeout      *timer.Timer   // of the current state
+	lastActivity balance.Millis // time at which the last byte of the request was read
+	listElement  *list.Element  // element of Server.connections
+	timeout      *timer.Timer   // timeout of the current state
 
 	decoder       *http1.RequestDecoder
-	sentContinue  bool
-	unsentInterim []byte // the part of the interim response that was not written: it precedes the response
-	unsent        []byte // the part of the response that was not written
+	sentContinue  bool   // whether the response 100 Continue was sent
+	unsentInterim []byte // unwritten part of the response 100 Continue, which precedes the final response
+	unsent        []byte // unwritten part of the final response
 }
 
-// setTimeout replaces the timeout of the previous state.
-func (c *connection) setTimeout(after balance.Millis, do func()) {
+// setTimeout replaces the timeout of the connection. After a duration in ms it calls the function onTimeout.
+func (c *connection) setTimeout(duration balance.Millis, onTimeout func()) {
 	c.server.Loop.Timers.Stop(c.timeout)
-	c.timeout = c.server.Loop.After(after, do)
+	c.timeout = c.server.Loop.After(duration, onTimeout)
 }
 
-// Ready handles the loop's events of the connection.
+// Ready reads from or writes to the connection. It is the event loop's callback for the descriptor.
 func (c *connection) Ready(uint32) {
 	if c.state == sendingResponse {
 		c.write()
@@ -62,7 +64,7 @@
 	c.read()
 }
 
-// read reads what has arrived. Bytes behind a complete request are discarded.
+// read reads the bytes that have arrived. It discards bytes after a complete request.
 func (c *connection) read() {
 	for range maxReadsPerEvent {
 		if c.state == sendingResponse || c.state == closed {
@@ -82,7 +84,7 @@
 	}
 }
 
-// decode decodes bytes of the request, and handles it once it is complete.
+// decode decodes bytes of the request, and handles the request once it is complete.
 func (c *connection) decode(p []byte) {
 	_, err := c.decoder.Feed(p)
 	switch {
@@ -95,7 +97,7 @@
 	}
 }
 
-// sendContinue lets the client send the body of its request.
+// sendContinue sends the response 100 Continue, for which the client waits before it sends the body of its request.
 func (c *connection) sendContinue() {
 	c.sentContinue = true
 	if n, _ := c.server.Loop.Write(c.fd, []byte(http1.ContinueResponse)); n > 0 {
@@ -103,7 +105,7 @@
 	}
 }
 
-// handle carries out a complete request and responds to it, now or once its override is stored.
+// handle executes a complete request. It responds at once, or when the override of the request is stored.
 func (c *connection) handle(message http1.Request) {
 	r, err := parseRequest(message.Method, message.Target)
 	if err == nil {
@@ -122,7 +124,7 @@
 	c.server.Balancer.SetDisabled(r.upstream, r.operation == disableUpstream, c.onOverrideDone)
 }
 
-// onOverrideDone responds to the request for an override, unless it timed out or its client closed meanwhile.
+// onOverrideDone responds to the request for an override, unless the request timed out or the client closed the connection.
 func (c *connection) onOverrideDone(err error) {
 	switch {
 	case c.state != awaitingOverride:
@@ -133,25 +135,25 @@
 	}
 }
 
-// timeOut rejects a request that did not arrive, or whose override was not answered, in time.
+// timeOut rejects a request that was not complete in time, or whose override was not done in time.
 func (c *connection) timeOut() {
 	c.server.counters.timedOut.Inc()
 	c.reject(errRequestTimeout)
 }
 
-// succeed responds that the request was carried out.
+// succeed responds with the status 200.
 func (c *connection) succeed() {
 	c.server.counters.succeeded.Inc()
 	c.respond(responseBytes(c.unsentInterim, statusOK, successBody()))
 }
 
-// reject responds with the status and text of an error.
+// reject responds with the status and the message of an error.
 func (c *connection) reject(err *HTTPError) {
 	c.server.counters.rejected.Inc()
 	c.respond(responseBytes(c.unsentInterim, err.Status, err.body()))
 }
 
-// respond writes the only response of the connection.
+// respond writes the final response of the connection.
 func (c *connection) respond(response []byte) {
 	c.state = sendingResponse
 	c.unsent = response
@@ -159,7 +161,7 @@
 	c.write()
 }
 
-// write writes the rest of the response, and then half-closes the connection.
+// write writes the unsent part of the response. Once all of it is written, write closes the sending direction of the connection.
 func (c *connection) write() {
 	n, err := c.server.Loop.Write(c.fd, c.unsent)
 	if err != nil {
@@ -177,7 +179,7 @@
 	c.setTimeout(lingerTimeout, c.close)
 }
 
-// close closes the connection and frees what it holds.
+// close closes the connection, stops its timer and removes it from the server. Further calls have no effect.
 func (c *connection) close() {
 	if c.state == closed {
 		return
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -9,16 +9,17 @@
 	"salttrack/internal/goldentest"
 )
 
-// exchange sends bytes on a new connection, runs the timers of the given milliseconds if that is not 0, and returns all that comes
-// back until the server closes.
-func (s *testServer) exchange(request string, passMs float64) string {
+// exchange sends a request on a new connection, and returns all bytes that the server sends before it closes the connection.
+// If advanceMs is not 0, exchange runs the timers that are due within that time, in ms, after the request is sent.
+func (s *testServer) exchange(request string, advanceMs float64) string {
 	s.T.Helper()
 	before := s.Counted(acceptedCounter)
 	conn := s.dial(request)
-	if passMs > 0 {
+	if advanceMs > 0 {
 		s.WaitFor(acceptedCounter, before+1)
-		time.Sleep(20 * time.Millisecond) // for the request to be read: either state's timeout gives the same response
-		s.Pass(passMs)
+		// Lets the server read the request. The test does not depend on it: both timeouts, before and after, give the same response.
+		time.Sleep(20 * time.Millisecond)
+		s.Pass(advanceMs)
 	}
 	response, err := io.ReadAll(conn)
 	if err != nil {
@@ -27,18 +28,18 @@
 	return string(response)
 }
 
-// endOfHead is the end of a request that has no body.
+// endOfHead is the rest of a request without a body, from the HTTP version on.
 const endOfHead = " HTTP/1.1\r\nHost: x\r\n\r\n"
 
 // beyondTimeoutsMs is longer than any timeout of the server.
 const beyondTimeoutsMs = 11000
 
-// goldenRequests are the requests of TestGoldenResponses, each with the time by which the timers of the server run ahead after it.
+// goldenRequests are the requests of TestGoldenResponses.
 var goldenRequests = []struct {
-	name     string
-	notReady bool
-	request  string
-	passMs   float64
+	name      string
+	notReady  bool // whether the balancer is not ready
+	request   string
+	advanceMs float64 // time by which the server's timers are advanced after the request, in ms
 }{
 	{name: "ready", request: "GET /control/ready" + endOfHead},
 	{name: "ready with a query", request: "GET /control/ready?verbose=1" + endOfHead},
@@ -59,12 +60,12 @@
 	{name: "empty id", request: "POST /control/upstreams//online" + endOfHead},
 	{name: "malformed id", request: "POST /control/upstreams/%zz/online" + endOfHead},
 	{name: "override not stored", request: "POST /control/upstreams/fails/offline" + endOfHead},
-	{name: "override not answered in time", request: "POST /control/upstreams/silent/offline" + endOfHead, passMs: beyondTimeoutsMs},
-	{name: "half a request", request: "POST /control/upstreams/s-1/offl", passMs: beyondTimeoutsMs},
+	{name: "override not done in time", request: "POST /control/upstreams/hangs/offline" + endOfHead, advanceMs: beyondTimeoutsMs},
+	{name: "incomplete request", request: "POST /control/upstreams/s-1/offl", advanceMs: beyondTimeoutsMs},
 	{name: "unknown operation", request: "POST /control/upstreams/s-1/drain" + endOfHead},
 	{name: "too many path elements", request: "POST /control/upstreams/a/b/offline" + endOfHead},
 	{name: "root", request: "GET /" + endOfHead},
-	{name: "path of the clients' side", request: "GET /-/ready" + endOfHead},
+	{name: "path of the downstream server", request: "GET /-/ready" + endOfHead},
 	{name: "malformed target", request: "GET nowhere" + endOfHead},
 	{name: "malformed request line", request: "GET\r\n\r\n"},
 	{name: "unknown version", request: "GET /control/ready HTTP/3.0\r\n\r\n"},
@@ -73,12 +74,12 @@
 	{name: "long header", request: "GET /control/ready HTTP/1.1\r\nA: " + strings.Repeat("a", 70000)},
 }
 
-// Every response has the bytes of the golden file: status line, headers and body, for each path and method, success and errors.
+// Compares the exact bytes of the responses with the golden file. The requests cover each path and method, success and errors.
 func TestGoldenResponses(t *testing.T) {
 	var transcript strings.Builder
 	for _, tt := range goldenRequests {
-		s := startServer(t, 4, &fakeOverrides{ready: !tt.notReady})
-		transcript.WriteString("=== " + tt.name + "\n" + s.exchange(tt.request, tt.passMs) + "\n")
+		s := startServer(t, 4, &fakeBalancer{ready: !tt.notReady})
+		transcript.WriteString("=== " + tt.name + "\n" + s.exchange(tt.request, tt.advanceMs) + "\n")
 	}
 	got := strings.ReplaceAll(transcript.String(), "\r\n", "<CRLF>\n")
 	goldentest.Compare(t, "testdata/responses.golden", got)
--- a/internal/admin/helpers_test.go
+++ b/internal/admin/helpers_test.go
@@ -20,44 +20,45 @@
 
 var errNoSpace = errors.New(`rename "x": no space left on device`)
 
-// fakeOverrides is a balancer that knows every upstream but "unlisted". An override of "fails" fails, one of "silent" is not answered.
-type fakeOverrides struct {
+// fakeBalancer is a balancer that knows every upstream except "unlisted". An override of upstream "fails" fails, and one of "hangs" is
+// never done.
+type fakeBalancer struct {
 	ready   bool
-	applied chan string // the overrides in force
+	applied chan string // overrides that were applied, as "disable NAME" or "enable NAME"
 }
 
-func (o *fakeOverrides) Ready() bool { return o.ready }
+func (b *fakeBalancer) Ready() bool { return b.ready }
 
-func (o *fakeOverrides) KnowsUpstream(id string) bool { return id != "unlisted" }
+func (b *fakeBalancer) KnowsUpstream(name string) bool { return name != "unlisted" }
 
-func (o *fakeOverrides) SetDisabled(id string, disabled bool, done func(error)) {
-	switch id {
+func (b *fakeBalancer) SetDisabled(name string, disabled bool, done func(error)) {
+	switch name {
 	case "fails":
 		done(errNoSpace)
-	case "silent":
+	case "hangs":
 	default:
-		o.applied <- map[bool]string{true: "disable ", false: "enable "}[disabled] + id
+		b.applied <- map[bool]string{true: "disable ", false: "enable "}[disabled] + name
 		done(nil)
-		done(errors.New("answered twice"))
+		done(errors.New("done is called twice"))
 	}
 }
 
-// testServer is a server on a loop of its own.
+// testServer is a server on its own event loop.
 type testServer struct {
 	*epolltest.Rig
-	overrides *fakeOverrides
-	address   string
+	balancer *fakeBalancer
+	address  string
 }
 
-// startServer starts a server that is closed at the end of the test, and has to hold no descriptor then.
-func startServer(t *testing.T, maxConnections int, overrides *fakeOverrides) *testServer {
+// startServer starts a server, and closes it at the end of the test. All its descriptors have to be closed then.
+func startServer(t *testing.T, maxConnections int, balancer *fakeBalancer) *testServer {
 	t.Helper()
-	overrides.applied = make(chan string, 1000)
+	balancer.applied = make(chan string, 1000)
 	rig := epolltest.Start(t)
-	ts := &testServer{Rig: rig, overrides: overrides}
+	ts := &testServer{Rig: rig, balancer: balancer}
 	var s *Server
 	ts.Do(func() {
-		s = New(Options{Loop: rig.Loop, MaxConnections: maxConnections, Counters: &rig.Count, Balancer: overrides})
+		s = New(Options{Loop: rig.Loop, MaxConnections: maxConnections, Counters: &rig.Count, Balancer: balancer})
 		if err := s.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 			t.Error(err)
 		}
@@ -72,7 +73,7 @@
 	return ts
 }
 
-// dial opens a connection and writes the begin of a request.
+// dial opens a connection and writes a text, which may be the beginning of a request.
 func (s *testServer) dial(text string) net.Conn {
 	s.T.Helper()
 	conn, err := net.Dial("tcp", s.address)
--- a/internal/admin/request.go
+++ b/internal/admin/request.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// The elements of the server's paths: /control/ready, and /control/upstreams/ID/offline or online.
+// Elements of the paths /control/ready, /control/upstreams/NAME/offline and /control/upstreams/NAME/online.
 const (
 	pathRoot      = "control"
 	pathReady     = "ready"
@@ -14,7 +14,7 @@
 	pathOnline    = "online"
 )
 
-// operation is what a request asks for.
+// operation is the operation that a request asks for.
 type operation uint8
 
 const (
@@ -26,7 +26,7 @@
 // request is a parsed request.
 type request struct {
 	operation operation
-	upstream  string // the id, for disableUpstream and enableUpstream
+	upstream  string // name of the upstream, "" for checkReadiness
 }
 
 // parseRequest parses the method and the target of a request.
@@ -50,19 +50,19 @@
 	return request{}, errUnknownPath
 }
 
-// parseOverride parses a request to disable or enable an upstream, whose id is escaped in the path.
-func parseOverride(o operation, method, escapedID, verb string) (request, *HTTPError) {
+// parseOverride parses a request to disable or enable an upstream, whose name is escaped in the path.
+func parseOverride(o operation, method, escapedName, pathElement string) (request, *HTTPError) {
 	if method != "POST" {
-		return request{}, overrideNeedsPOST(verb)
+		return request{}, overrideNeedsPOST(pathElement)
 	}
-	id, err := url.PathUnescape(escapedID)
-	if err != nil || id == "" {
-		return request{}, errMalformedID
+	name, err := url.PathUnescape(escapedName)
+	if err != nil || name == "" {
+		return request{}, errMalformedName
 	}
-	return request{operation: o, upstream: id}, nil
+	return request{operation: o, upstream: name}, nil
 }
 
-// check returns the error of a request that the balancer, as it is now, can't carry out.
+// check returns the error of a request that the balancer can't execute in its present state, nil if it can.
 func (s *Server) check(r request) *HTTPError {
 	switch {
 	case r.operation == checkReadiness && !s.Balancer.Ready():
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' HTTP/1.1 server: it reports whether a balancer is ready, and disables and enables upstreams. It runs
-// on the balancer's loop, with descriptors that are reserved for it.
+// Package admin is the HTTP/1.1 server for operators. It reports whether a balancer is ready, and disables and enables upstreams. It
+// runs on the balancer's event loop and uses descriptors that are reserved for it.
 package admin
 
 import (
@@ -16,42 +16,42 @@
 
 // Limits of the server.
 const (
-	minIdleToShed balance.Millis = 30 // younger connections are not shed: the rest of their request may be on the way
-	acceptPause   balance.Millis = minIdleToShed / 4
+	minIdleToShed balance.Millis = 30                // idle time before a connection may be shed; until then the rest of its request may arrive
+	acceptPause   balance.Millis = minIdleToShed / 4 // time without accepting while no connection can be accepted
 
 	maxAcceptsPerEvent = 64
 	readBufferSize     = 4 << 10
 )
 
-// Balancer is the balancer that the server operates on. Its methods are called on the loop.
+// Balancer is the balancer that the server reports on and changes. The server calls its methods on the event loop.
 type Balancer interface {
 	// Ready reports whether the balancer accepts new requests.
 	Ready() bool
-	// KnowsUpstream reports whether an upstream with the id was ever on the endpoint list.
-	KnowsUpstream(id string) bool
-	// SetDisabled disables or enables an upstream. Done is called on the loop once the override is in force and stored, or with the
-	// reason why it is not. Calls of done after the first have no effect.
-	SetDisabled(id string, disabled bool, done func(error))
+	// KnowsUpstream reports whether the named upstream is on the endpoint list, is disabled, or was recently removed from the list.
+	KnowsUpstream(name string) bool
+	// SetDisabled disables or enables an upstream. It calls done on the event loop, with nil once the override is in force and stored,
+	// or with an error. The server ignores further calls of done.
+	SetDisabled(name string, disabled bool, done func(error))
 }
 
-// Options is what a server works with.
+// Options are the dependencies and limits of a server.
 type Options struct {
 	Loop           *loop.Loop
-	MaxConnections int // open at once
+	MaxConnections int // maximum number of open connections
 	Counters       *counter.Set
 	Balancer       Balancer
 }
 
-// Server accepts operators' connections. It owns its listening descriptor and those of its connections: Close closes them all.
+// Server accepts connections from operators. It owns its listening socket and its connections, which Close closes.
 type Server struct {
 	Options
-	listener    int        // descriptor, or closedDescriptor
-	connections *list.List // of *connection, the least recently active first
-	readBuffer  []byte     // shared by all connections, which are read one after the other
+	listener    int        // descriptor of the listening socket, or closedDescriptor
+	connections *list.List // elements are *connection, the least recently active first
+	readBuffer  []byte     // shared by all connections, since each read is handled before the next one
 	counters    counters
 }
 
-// counters are the server's counts.
+// counters are the counters of a server.
 type counters struct {
 	accepted, succeeded, rejected, shed, timedOut *counter.Counter
 }
@@ -90,10 +90,10 @@
 	return nil
 }
 
-// SetMaxConnections changes how many connections may be open at once. Those that are open stay.
+// SetMaxConnections sets the maximum number of open connections. It closes no connection that is open.
 func (s *Server) SetMaxConnections(n int) { s.MaxConnections = n }
 
-// Descriptors is the number of descriptors that the server holds.
+// Descriptors returns the number of descriptors that the server holds.
 func (s *Server) Descriptors() int {
 	if s.listener == closedDescriptor {
 		return 0
@@ -112,7 +112,7 @@
 	}
 }
 
-// Ready accepts pending connections. It is the loop's callback for the listening socket.
+// Ready accepts pending connections. It is the event loop's callback for the listening socket.
 func (s *Server) Ready(uint32) {
 	for range maxAcceptsPerEvent {
 		if s.connections.Len() >= s.MaxConnections && !s.shedLeastRecentlyActive() {
@@ -132,7 +132,7 @@
 	}
 }
 
-// serve begins to read from a new connection, whose descriptor it owns from then on.
+// serve starts reading from a new connection. It takes ownership of the descriptor.
 func (s *Server) serve(fd int) {
 	c := &connection{server: s, fd: fd, decoder: http1.NewAdminRequestDecoder()}
 	if err := s.Loop.Add(fd, loop.In|loop.Hup, c); err != nil {
@@ -143,10 +143,10 @@
 	c.listElement = s.connections.PushBack(c)
 	c.lastActivity = s.Loop.Now()
 	c.setTimeout(requestTimeout, c.timeOut)
-	c.Ready(loop.In) // the request has often arrived already
+	c.Ready(loop.In) // saves a turn of the event loop, since the request has often arrived already
 }
 
-// pauseAccepting leaves new connections in the kernel's queue for a short time.
+// pauseAccepting stops accepting connections for acceptPause. New connections stay in the kernel's queue meanwhile.
 func (s *Server) pauseAccepting() {
 	s.Loop.Watch(s.listener, 0)
 	s.Loop.After(acceptPause, func() {
@@ -156,8 +156,8 @@
 	})
 }
 
-// shedLeastRecentlyActive closes the connection whose last byte is the oldest, also one that waits for an override, and reports
-// whether there was one to close.
+// shedLeastRecentlyActive closes the least recently active connection, even if its override is being stored.
+// It returns false and closes nothing if that connection has been idle for less than minIdleToShed.
 func (s *Server) shedLeastRecentlyActive() bool {
 	c := s.leastRecentlyActive()
 	if s.Loop.Now()-c.lastActivity < minIdleToShed {
@@ -168,5 +168,5 @@
 	return true
 }
 
-// leastRecentlyActive is the connection whose last byte is the oldest. There has to be one.
+// leastRecentlyActive returns the connection that has not received a byte for the longest time. The list must not be empty.
 func (s *Server) leastRecentlyActive() *connection { return s.connections.Front().Value.(*connection) }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// response reads the response on a connection, which has to end behind it, and returns its status and body.
+// response reads the response on a connection, and returns its status and body. The server has to close the connection after it.
 func response(t *testing.T, conn net.Conn) (int, string) {
 	t.Helper()
 	r, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -20,14 +20,14 @@
 	}
 	body, _ := io.ReadAll(r.Body)
 	if rest, _ := io.ReadAll(conn); len(rest) > 0 || !r.Close {
-		t.Error("the connection goes on after its response")
+		t.Error("the connection is not closed after its response")
 	}
 	return r.StatusCode, string(body)
 }
 
-// Each request has the status of its path, method and upstream, and an accepted override reaches the balancer once.
+// The response has the status that fits the path, method and upstream of the request. An override is applied once if the status is 200.
 func TestRequests(t *testing.T) {
-	s := startServer(t, 4, &fakeOverrides{ready: true})
+	s := startServer(t, 4, &fakeBalancer{ready: true})
 	for _, tt := range []struct {
 		request  string
 		status   int
@@ -52,8 +52,8 @@
 	} {
 		status, body := response(t, s.dial(tt.request+" HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"))
 		override := ""
-		if len(s.overrides.applied) > 0 {
-			override = <-s.overrides.applied
+		if len(s.balancer.applied) > 0 {
+			override = <-s.balancer.applied
 		}
 		if status != tt.status || override != tt.override || strings.Contains(body, `"error"`) != (tt.status >= 300) {
 			t.Errorf("%s: %d %q, override %q", tt.request, status, body, override)
@@ -61,49 +61,49 @@
 	}
 }
 
-// A request may arrive in two parts, cut anywhere.
+// A request may arrive in two parts, which are split at any byte.
 func TestSplitRequest(t *testing.T) {
-	s := startServer(t, 4, &fakeOverrides{ready: true})
+	s := startServer(t, 4, &fakeBalancer{ready: true})
 	const request = "POST /control/upstreams/s-1/offline HTTP/1.1\r\n\r\n"
 	for i := range request {
 		conn := s.dial(request[:i])
 		io.WriteString(conn, request[i:])
 		if status, _ := response(t, conn); status != 200 {
-			t.Errorf("cut at %d: %d", i, status)
+			t.Errorf("request split after %d bytes: status %d, want 200", i, status)
 		}
 	}
 }
 
-// Hundreds of clients send half a request: each complete request is responded to all the same, the server holds no more descriptors
-// than are reserved for it, and half a request is responded to at its timeout.
+// Incomplete requests of many clients don't block the server: it sheds idle connections, and responds to each complete request.
+// An incomplete request is rejected with status 408 at its timeout.
 func TestIncompleteRequests(t *testing.T) {
 	const maxConnections = 8
-	s := startServer(t, maxConnections, &fakeOverrides{ready: true})
+	s := startServer(t, maxConnections, &fakeBalancer{ready: true})
 	for range 6 {
 		for range 40 {
 			s.dial("POST /control/upstreams/s-1/offl")
 		}
 		if status, _ := response(t, s.dial("GET /control/ready HTTP/1.1\r\n\r\n")); status != 200 {
-			t.Errorf("status %d", status)
+			t.Errorf("complete request: status %d, want 200", status)
 		}
 	}
 	if n := s.Counted(shedCounter); n < 200 {
-		t.Errorf("%d connections shed", n)
+		t.Errorf("%d connections shed, want at least 200", n)
 	}
 	newest := s.dial("")
 	s.WaitFor(acceptedCounter, 6*41+1)
-	for range maxConnections { // a pass ends at a timer that it has set
+	for range maxConnections { // several calls, since Pass stops at the first due timer that was set during the call
 		s.Pass(requestTimeout + 1)
 	}
 	if status, _ := response(t, newest); status != 408 {
-		t.Errorf("half a request: status %d", status)
+		t.Errorf("incomplete request: status %d, want 408", status)
 	}
 }
 
-// A failed override carries its cause, and parsing errors are HTTP errors with their status.
+// The error of a failed override wraps its cause, and a parsing error is an HTTPError with the status of the response.
 func TestHTTPErrors(t *testing.T) {
 	if err := error(overrideFailed(errNoSpace)); !errors.Is(err, errNoSpace) {
-		t.Errorf("%v is not its cause", err)
+		t.Errorf("error %v does not wrap its cause", err)
 	}
 	_, parseErr := parseRequest("GET", "/control/upstreams/s-1/offline")
 	var httpErr *HTTPError
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -1,4 +1,4 @@
-// Package counter holds the named counters and gauges of a balancer.
+// Package counter provides named counters and gauges.
 package counter
 
 import (
@@ -12,38 +12,38 @@
 	value uint64
 }
 
-// Inc adds one.
+// Inc adds 1 to the count.
 func (c *Counter) Inc() { c.value++ }
 
 // Value returns the count.
 func (c *Counter) Value() uint64 { return c.value }
 
-// Set holds counters and gauges in the order in which they were added. Its zero value is empty and ready for use.
+// Set is a set of counters and gauges, in the order in which they were added. Its zero value is empty and ready for use.
 type Set struct {
 	counters []*Counter
 	gauges   []gauge
 }
 
-// gauge is a value that is read when it is asked for.
+// gauge is a named value that a function returns.
 type gauge struct {
 	name string
 	read func() uint64
 }
 
-// New adds a counter to the set. The name must be unique in it.
+// New adds a counter to the set and returns it. The name must be unique in the set.
 func (s *Set) New(name string) *Counter {
 	c := &Counter{name: name}
 	s.counters = append(s.counters, c)
 	return c
 }
 
-// Gauge adds a value to the set that is read each time the set is. The name must be unique in it.
+// Gauge adds a gauge to the set. The function read returns its current value. The name must be unique in the set.
 func (s *Set) Gauge(name string, read func() uint64) {
 	s.gauges = append(s.gauges, gauge{name, read})
 }
 
-// Value returns the value of a counter or gauge, and whether there is one of that name.
-func (s *Set) Value(name string) (uint64, bool) {
+// Value returns the value of the counter or gauge with a name. The result ok is false if there is none.
+func (s *Set) Value(name string) (value uint64, ok bool) {
 	for _, c := range s.counters {
 		if c.name == name {
 			return c.value, true
@@ -57,7 +57,7 @@
 	return 0, false
 }
 
-// String returns all counters, then all gauges, as name=value separated by spaces.
+// String returns all counters, followed by all gauges, as name=value separated by spaces.
 func (s *Set) String() string {
 	var b strings.Builder
 	for _, c := range s.counters {
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -18,6 +18,6 @@
 		}
 	}
 	if _, ok := s.Value("unknown"); ok {
-		t.Error("Value finds a counter that was never added")
+		t.Error("Value returns a counter that was never added")
 	}
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,4 +1,4 @@
-// Package goldentest compares what a test got with a golden file, which holds what was got when it was last updated.
+// Package goldentest compares the output of a test with a golden file, which holds the expected output.
 package goldentest
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// update replaces the golden files, after a change of their content that is intended.
-var update = flag.Bool("update", false, "replace golden files by what the tests get")
+// update makes Compare replace the golden files, after an intended change of the output.
+var update = flag.Bool("update", false, "replace golden files by the output of the tests")
 
-// Compare reports an error with the lines in which a text differs from the golden file at a path.
+// Compare fails the test if a text differs from the golden file at a path. The error shows the differing lines.
 func Compare(t *testing.T, path, got string) {
 	t.Helper()
 	if *update {
@@ -26,6 +26,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(got, "\n")); diff != "" {
-		t.Errorf("differs from %s (-want +got):\n%s", path, diff)
+		t.Errorf("output differs from %s (-want +got):\n%s", path, diff)
 	}
 }
--- a/internal/hotrestart/codec.go
+++ b/internal/hotrestart/codec.go
@@ -9,17 +9,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// formatVersion is the version of the form of stored records: a header line with the version, the length of the text in bytes and its
-// XXH64 checksum, then the text, a Record in JSON.
+// formatVersion is the version of the storage format. A stored record is a header line followed by the text, which is the Record in
+// JSON. The header has the format version, the length of the text in bytes and the XXH64 checksum of the text.
 const formatVersion = 1
 
-// The header line, as it is written and as it is read.
+// Formats of the header line for fmt.Appendf and fmt.Sscanf.
 const (
 	headerFormat = "salttrack-handover %d %d %016x\n"
 	headerScan   = "salttrack-handover %d %d %x"
 )
 
-// encode returns the stored form of a record.
+// encode returns a record in the storage format.
 func encode(r Record) ([]byte, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return append(header, text...), nil
 }
 
-// decode parses the stored form of a record, and returns the record or the reason why it can't be used.
+// decode parses a record in the storage format. The error is one of the types in errors.go or wraps an error of encoding/json.
 func decode(stored []byte) (Record, error) {
 	header, text, found := bytes.Cut(stored, []byte("\n"))
 	if !found {
@@ -42,15 +42,15 @@
 	if err := json.Unmarshal(text, &r); err != nil {
 		return Record{}, fmt.Errorf("text: %w", err)
 	}
-	for id, o := range r.Overrides {
-		if id == "" || math.IsInf(o.SetAt, 0) || math.IsInf(o.SetAtUptime, 0) {
-			return Record{}, &OverrideError{Upstream: id, Override: o}
+	for upstream, o := range r.Overrides {
+		if upstream == "" || math.IsInf(o.SetAt, 0) || math.IsInf(o.SetAtUptime, 0) {
+			return Record{}, &OverrideError{Upstream: upstream, Override: o}
 		}
 	}
 	return r, nil
 }
 
-// checkHeader checks the text of a record against its header.
+// checkHeader checks the format version in the header of a record, and the length and checksum of its text.
 func checkHeader(header string, text []byte) error {
 	var version, length int
 	var checksum uint64
--- a/internal/hotrestart/codec_test.go
+++ b/internal/hotrestart/codec_test.go
@@ -12,13 +12,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// testRecord is a record of a ready process.
+// testRecord returns the record of a ready process.
 func testRecord(overrides map[string]Override) Record {
 	return Record{Ready: true, Overrides: overrides}
 }
 
-// A stored record is read completely or not at all: cut anywhere, with any byte changed, or of another version.
-func TestDecodeCompletelyOrNotAtAll(t *testing.T) {
+// Decoding fails for a record that is truncated at any byte, has a changed byte or has another format version.
+func TestDecodeRejectsDamagedRecords(t *testing.T) {
 	want := testRecord(map[string]Override{
 		"s-1":    {Disabled: true, SetAt: 1e12, Version: 1 << 62, SetAtUptime: 7.5},
 		"a/ü \n": {SetAt: 5},
@@ -33,26 +33,26 @@
 	}
 	for i := range stored {
 		if _, err := decode(stored[:i]); err == nil {
-			t.Errorf("read though it is cut at %d", i)
+			t.Errorf("a record that is truncated after %d bytes is decoded", i)
 		}
 		changed := append([]byte(nil), stored...)
 		if changed[i] ^= 1; stored[i] != ' ' && i > len("salttrack-handover 1 ") {
 			if r, err := decode(changed); err == nil && !cmp.Equal(r, want) {
-				t.Errorf("with byte %d changed it is read as %+v", i, r)
+				t.Errorf("with byte %d changed, the record is decoded as %+v", i, r)
 			}
 		}
 	}
 	for _, version := range []string{"0", "2", "x"} {
 		if _, err := decode([]byte(strings.Replace(string(stored), "handover 1 ", "handover "+version+" ", 1))); err == nil {
-			t.Errorf("version %s is read", version)
+			t.Errorf("a record of format version %s is decoded", version)
 		}
 	}
 }
 
-// Each reason for which a record can't be used has a type of its own.
+// Each kind of invalid record has its own error type.
 func TestDecodeErrors(t *testing.T) {
-	encoded := func(id string, o Override) string {
-		stored, err := encode(testRecord(map[string]Override{id: o}))
+	encoded := func(upstream string, o Override) string {
+		stored, err := encode(testRecord(map[string]Override{upstream: o}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,14 +63,14 @@
 		stored string
 		target any
 	}{
-		"cut in the header":  {valid[:10], new(*TruncatedError)},
-		"cut in the text":    {valid[:len(valid)-1], new(*TruncatedError)},
-		"longer text":        {valid + " ", new(*TruncatedError)},
-		"malformed header":   {"salttrack-handover 1 x\n{}", new(*HeaderError)},
-		"version 2":          {strings.Replace(valid, " 1 ", " 2 ", 1), new(*FormatVersionError)},
-		"changed text":       {strings.Replace(valid, "s-1", "s-2", 1), new(*ChecksumError)},
-		"without an id":      {encoded("", Override{}), new(*OverrideError)},
-		"of an unknown type": {fmt.Sprintf(headerFormat, formatVersion, 2, xxhash.Sum64String("[]")) + "[]", new(*json.UnmarshalTypeError)},
+		"truncated header":        {valid[:10], new(*TruncatedError)},
+		"truncated text":          {valid[:len(valid)-1], new(*TruncatedError)},
+		"longer text":             {valid + " ", new(*TruncatedError)},
+		"malformed header":        {"salttrack-handover 1 x\n{}", new(*HeaderError)},
+		"format version 2":        {strings.Replace(valid, " 1 ", " 2 ", 1), new(*FormatVersionError)},
+		"changed text":            {strings.Replace(valid, "s-1", "s-2", 1), new(*ChecksumError)},
+		"override without a name": {encoded("", Override{}), new(*OverrideError)},
+		"array for an object":     {fmt.Sprintf(headerFormat, formatVersion, 2, xxhash.Sum64String("[]")) + "[]", new(*json.UnmarshalTypeError)},
 	} {
 		_, err := decode([]byte(tt.stored))
 		if !errors.As(err, tt.target) {
@@ -78,6 +78,6 @@
 		}
 	}
 	if _, err := encode(testRecord(map[string]Override{"s-1": {SetAt: math.Inf(1)}})); err == nil {
-		t.Error("an infinite time is written")
+		t.Error("a record with an infinite time is encoded")
 	}
 }
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -13,26 +13,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxRecordSize bounds what is read of one record, in bytes.
+// maxRecordSize is the maximum size of a stored record that is read, in bytes.
 const maxRecordSize = 1 << 20
 
-// The endings of a process's files. A process lives as long as its lock file is locked.
+// Suffixes of the names of a process's files. A process is live as long as it holds the lock on its lock file.
 const (
-	lockEnding   = ".lock"
-	recordEnding = ".record"
+	lockSuffix   = ".lock"
+	recordSuffix = ".record"
 )
 
-// Directory is a store in a directory that the processes of one balancer share.
+// Directory is a Store in a directory that the processes of one balancer share.
 type Directory struct {
 	path      string
-	process   string            // the name of this process's files, without their endings
-	lock      *os.File          // held, and owned, until Close
-	published []byte            // this process's record as it is stored, nil if there is none
-	reported  map[string]uint64 // hashes of the errors that were reported, by the process whose record has them
+	process   string            // name of this process's files without the suffix
+	lock      *os.File          // locked file, which is kept open until Close
+	published []byte            // stored record of this process, nil if there is none
+	reported  map[string]uint64 // hash of the last reported error and of the invalid record, by process
 	files     FileSystem
 }
 
-// OpenDirectory joins the processes of the named balancer in a directory below the given one. Records are written by the given calls.
+// OpenDirectory opens the store of the named balancer, in a subdirectory of the parent directory. It creates and locks the lock file
+// of this process. Records are written through the given file system.
 func OpenDirectory(parent, balancer string, files FileSystem) (*Directory, error) {
 	hash := fnv.New64a()
 	hash.Write([]byte(balancer))
@@ -53,8 +54,8 @@
 	}, nil
 }
 
-// createLock creates and locks the lock file of a new process. The file gets its ending once it is locked, so that no other process
-// sees it unlocked. Its Name is the one without the ending.
+// createLock creates and locks the lock file of a new process. The file gets its suffix after it is locked, so that no other process
+// sees it unlocked. The Name of the returned file is the one without the suffix.
 func createLock(directory string) (*os.File, error) {
 	lock, err := os.CreateTemp(directory, "p")
 	if err != nil {
@@ -62,7 +63,7 @@
 	}
 	err = unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 	if err == nil {
-		err = os.Rename(lock.Name(), lock.Name()+lockEnding)
+		err = os.Rename(lock.Name(), lock.Name()+lockSuffix)
 	}
 	if err != nil {
 		lock.Close()
@@ -71,19 +72,19 @@
 	return lock, nil
 }
 
-// file is the path of a process's file with an ending.
-func (d *Directory) file(process, ending string) string {
-	return filepath.Join(d.path, process+ending)
+// file returns the path of the file of a process that has a suffix.
+func (d *Directory) file(process, suffix string) string {
+	return filepath.Join(d.path, process+suffix)
 }
 
-// Publish replaces this process's record, completely or not at all.
+// Publish replaces the record of this process atomically.
 func (d *Directory) Publish(r Record, merged []string) error {
 	stored, err := encode(r)
 	if err != nil {
 		return err
 	}
 	if string(stored) != string(d.published) {
-		if err := replaceFile(d.files, d.file(d.process, recordEnding), d.published, stored); err != nil {
+		if err := replaceFile(d.files, d.file(d.process, recordSuffix), d.published, stored); err != nil {
 			return &StorageError{err}
 		}
 		d.published = stored
@@ -94,10 +95,10 @@
 	return nil
 }
 
-// remove removes the files of a process that has exited, also those that it was writing and those of older versions.
+// remove removes the files of a process that has exited. They include its temporary files, and those of older program versions.
 func (d *Directory) remove(process string) {
-	for _, ending := range [...]string{recordEnding, recordEnding + temporaryEnding, temporaryEnding, lockEnding} {
-		d.files.Remove(d.file(process, ending))
+	for _, suffix := range [...]string{recordSuffix, recordSuffix + temporarySuffix, temporarySuffix, lockSuffix} {
+		d.files.Remove(d.file(process, suffix))
 	}
 	delete(d.reported, process)
 }
@@ -110,12 +111,13 @@
 	}
 	var peers PeerRecords
 	for _, entry := range entries {
-		process, isLock := strings.CutSuffix(entry.Name(), lockEnding)
+		process, isLock := strings.CutSuffix(entry.Name(), lockSuffix)
 		if !isLock || process == d.process {
 			continue
 		}
-		// The lock comes first: a process that publishes and exits between the two steps counts as live with its last record.
-		exited := isUnlocked(d.file(process, lockEnding))
+		// The lock has to be checked before the record is read. Then a process that publishes and exits in between counts as live, with
+		// its last record. In the other sequence it would count as exited, with an outdated record.
+		exited := isUnlocked(d.file(process, lockSuffix))
 		r, err := d.readRecord(process)
 		if err != nil {
 			peers.Unreadable = append(peers.Unreadable, &RecordError{Process: process, Err: err})
@@ -130,7 +132,7 @@
 	return peers, nil
 }
 
-// isUnlocked reports whether no process holds a lock.
+// isUnlocked reports whether no process holds the lock on a file.
 func isUnlocked(path string) bool {
 	f, err := os.Open(path)
 	if err != nil {
@@ -140,11 +142,11 @@
 	return unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB) == nil
 }
 
-// readRecord reads the record of another process, the zero record if there is none. The same error with the same bytes is returned once,
-// since a peer's record is read again and again.
+// readRecord reads the record of another process. It returns the zero Record if there is none. Since records are read repeatedly, an
+// error is returned only once, until the error or the stored bytes change.
 func (d *Directory) readRecord(process string) (Record, error) {
 	var r Record
-	stored, err := readBounded(d.file(process, recordEnding))
+	stored, err := readBounded(d.file(process, recordSuffix))
 	if err == nil {
 		r, err = decode(stored)
 	}
@@ -160,7 +162,7 @@
 	return Record{}, err
 }
 
-// readBounded reads a file that may be as long as a record.
+// readBounded reads a file of at most maxRecordSize bytes. For a longer file it returns a *TooLongError.
 func readBounded(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -174,5 +176,5 @@
 	return text, err
 }
 
-// Close releases the lock. The record stays for the other processes.
+// Close releases the lock, which marks the process as exited. Its record stays for the other processes.
 func (d *Directory) Close() { d.lock.Close() }
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// openProcess joins the processes of a balancer.
+// openProcess opens the store of a balancer, as a new process does.
 func openProcess(t *testing.T, parent, balancer string) *Directory {
 	t.Helper()
 	d, err := OpenDirectory(parent, balancer, OSFileSystem{})
@@ -19,7 +19,7 @@
 	return d
 }
 
-// expectPeers checks what a process reads of the others.
+// expectPeers checks the records of the other processes that a process reads, and the number of errors.
 func expectPeers(t *testing.T, what string, d *Directory, live, exited []Record, unreadable int) {
 	t.Helper()
 	peers, err := d.Peers()
@@ -35,44 +35,44 @@
 	}
 }
 
-// Processes of one balancer read each other's records, live and after their exit, until another process has merged them.
+// The processes of one balancer read each other's records. The record of an exited process stays until another process has merged it.
 func TestPeers(t *testing.T) {
 	parent, want := t.TempDir(), testRecord(map[string]Override{"s-1": {Disabled: true, SetAt: 7}})
 	reader, publisher := openProcess(t, parent, "n1"), openProcess(t, parent, "n1")
-	silent, other := openProcess(t, parent, "n1"), openProcess(t, parent, "n2")
-	silent.Close()
+	withoutRecord, otherBalancer := openProcess(t, parent, "n1"), openProcess(t, parent, "n2")
+	withoutRecord.Close()
 	expectPeers(t, "one live and one exited process without records", reader, []Record{{}}, []Record{{}}, 0)
-	reader.remove(silent.process)
+	reader.remove(withoutRecord.process)
 	if err := publisher.Publish(want, nil); err != nil {
 		t.Fatal(err)
 	}
 	expectPeers(t, "a published record", reader, []Record{want}, nil, 0)
-	expectPeers(t, "another balancer", other, nil, nil, 0)
+	expectPeers(t, "another balancer", otherBalancer, nil, nil, 0)
 	publisher.Close()
-	expectPeers(t, "after its exit", reader, nil, []Record{want}, 0)
-	expectPeers(t, "as long as no other has merged it", reader, nil, []Record{want}, 0)
+	expectPeers(t, "after the publisher's exit", reader, nil, []Record{want}, 0)
+	expectPeers(t, "a second read before the record is merged", reader, nil, []Record{want}, 0)
 	if err := reader.Publish(want, []string{publisher.process}); err != nil {
 		t.Fatal(err)
 	}
-	expectPeers(t, "merged by another", reader, nil, nil, 0)
+	expectPeers(t, "after the record is merged", reader, nil, nil, 0)
 	reader.Close()
-	if files, _ := os.ReadDir(reader.path); len(files) != 2 { // its own lock and record
-		t.Errorf("%d files remain", len(files))
+	if files, _ := os.ReadDir(reader.path); len(files) != 2 {
+		t.Errorf("%d files remain, want the reader's lock and record", len(files))
 	}
 }
 
-// A record that can't be used is reported once, and its process counts as live.
+// An unreadable record is reported once, and its process still counts as live.
 func TestUnreadableRecord(t *testing.T) {
 	parent, want := t.TempDir(), testRecord(nil)
 	reader, publisher := openProcess(t, parent, "n1"), openProcess(t, parent, "n1")
 	defer reader.Close()
 	defer publisher.Close()
-	damage := func(text string) {
-		if err := os.WriteFile(publisher.file(publisher.process, recordEnding), []byte(text), 0o600); err != nil {
+	overwriteRecord := func(text string) {
+		if err := os.WriteFile(publisher.file(publisher.process, recordSuffix), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	damage("salttrack-handover 9 0 0\n")
+	overwriteRecord("salttrack-handover 9 0 0\n")
 	peers, err := reader.Peers()
 	var recordErr *RecordError
 	var versionErr *FormatVersionError
@@ -83,7 +83,7 @@
 	for range 2 {
 		expectPeers(t, "the same record again", reader, []Record{{}}, nil, 0)
 	}
-	damage("salttrack-handover 8 0 0\n")
+	overwriteRecord("salttrack-handover 8 0 0\n")
 	expectPeers(t, "another unreadable record", reader, []Record{{}}, nil, 1)
 	if err := publisher.Publish(want, nil); err != nil {
 		t.Fatal(err)
@@ -109,14 +109,14 @@
 	if storageErr := (*StorageError)(nil); !errors.As(err, &storageErr) || !errors.Is(err, unix.ENOSPC) || err.Error() != "handover: no space left on device" {
 		t.Errorf("error %q", err)
 	}
-	if _, err := os.Stat(exited.file(exited.process, recordEnding)); err != nil {
-		t.Error("the only copy is removed")
+	if _, err := os.Stat(exited.file(exited.process, recordSuffix)); err != nil {
+		t.Error("the record is removed though no other process has stored its overrides")
 	}
 	successor.files = OSFileSystem{}
 	if err := successor.Publish(want, []string{exited.process}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := os.Stat(exited.file(exited.process, recordEnding)); err == nil {
-		t.Error("not removed though it is merged")
+	if _, err := os.Stat(exited.file(exited.process, recordSuffix)); err == nil {
+		t.Error("the record is not removed though another process has merged it")
 	}
 }
--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -2,79 +2,80 @@
 
 import "fmt"
 
-// RecordError is the record of a process that can't be used.
+// RecordError reports that the stored record of a process can't be read.
 type RecordError struct {
 	Process string
-	Err     error // why: one of the types below, or an error of the system or of JSON
+	Err     error // one of the error types below, or an error of the operating system or of encoding/json
 }
 
-// Error names the process and the reason.
+// Error returns the name of the process and the message of the cause.
 func (e *RecordError) Error() string {
-	return fmt.Sprintf("hot restart record of %s: %v", e.Process, e.Err)
+	return fmt.Sprintf("hot restart record of process %s: %v", e.Process, e.Err)
 }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// TruncatedError is a record without an end of its header, or with a text of another length than the header says.
+// TruncatedError reports a record whose header line has no end, or whose text has another length than its header states.
 type TruncatedError struct {
 	InHeader bool
-	Length   int // bytes of the header or of the text
-	Want     int // bytes of the text by the header
+	Length   int // length of the incomplete header or of the text, in bytes
+	Want     int // length of the text that the header states, in bytes
 }
 
-// Error gives the lengths.
+// Error returns a message with the lengths.
 func (e *TruncatedError) Error() string {
 	if e.InHeader {
 		return fmt.Sprintf("header truncated after %d bytes", e.Length)
 	}
-	return fmt.Sprintf("text of %d bytes, the header says %d", e.Length, e.Want)
+	return fmt.Sprintf("text has %d bytes, but the header states %d", e.Length, e.Want)
 }
 
-// TooLongError is a file that is longer than any record may be.
+// TooLongError reports a record file that is longer than the maximum size of a record.
 type TooLongError struct{ Max int }
 
-// Error gives the limit.
-func (e *TooLongError) Error() string { return fmt.Sprintf("record of more than %d bytes", e.Max) }
+// Error returns a message with the maximum size.
+func (e *TooLongError) Error() string { return fmt.Sprintf("record is longer than %d bytes", e.Max) }
 
-// HeaderError is a record whose header line is malformed.
+// HeaderError reports a record with a malformed header line.
 type HeaderError struct{ Header string }
 
-// Error quotes the header.
+// Error returns a message with the first 80 characters of the header line.
 func (e *HeaderError) Error() string { return fmt.Sprintf("malformed header %.80q", e.Header) }
 
-// FormatVersionError is a record of another version of the form.
+// FormatVersionError reports a record in another version of the storage format.
 type FormatVersionError struct{ Version int }
 
-// Error gives both versions.
+// Error returns a message with the format version of the record and the supported one.
 func (e *FormatVersionError) Error() string {
 	return fmt.Sprintf("format version %d, only %d is supported", e.Version, formatVersion)
 }
 
-// ChecksumError is a record whose text is not the one that was written.
+// ChecksumError reports a record whose text does not match the checksum in its header.
 type ChecksumError struct{ Checksum, Want uint64 }
 
-// Error gives both checksums.
+// Error returns a message with the checksum of the text and the one in the header.
 func (e *ChecksumError) Error() string {
-	return fmt.Sprintf("checksum %016x, the header says %016x", e.Checksum, e.Want)
+	return fmt.Sprintf("checksum is %016x, but the header states %016x", e.Checksum, e.Want)
 }
 
-// OverrideError is a record with an override that no process sets: without an upstream, or with an infinite time.
+// OverrideError reports a record with an override that has no upstream name or an infinite time. No process writes such a record.
 type OverrideError struct {
 	Upstream string
 	Override Override
 }
 
-// Error gives the override.
+// Error returns a message with the name of the upstream and the override.
 func (e *OverrideError) Error() string {
-	return fmt.Sprintf("impossible override of upstream %q: %+v", e.Upstream, e.Override)
+	return fmt.Sprintf("invalid override of upstream %q: %+v", e.Upstream, e.Override)
 }
 
-// StorageError is a failed operation on the directory of the records.
+// StorageError reports a failed operation on the directory that holds the records.
 type StorageError struct{ Err error }
 
-// Error gives the reason. The prefix is in responses of the admin server, and stays as it was.
+// Error returns the message of the cause after a prefix. Operators' scripts read the prefix in responses of the admin server, so it must
+// not change.
 func (e *StorageError) Error() string { return fmt.Sprintf("handover: %v", e.Err) }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause.
 func (e *StorageError) Unwrap() error { return e.Err }
--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -5,19 +5,19 @@
 	"os"
 )
 
-// FileSystem is the calls by which records are written. Tests replace them, to fail or to stop at any call.
+// FileSystem is the file system on which records are written. Tests replace it to make calls fail or to simulate a kill at any call.
 type FileSystem interface {
-	// Write writes a complete file, and returns once it is on stable storage.
+	// Write creates or overwrites a file, and returns once its content is on stable storage.
 	Write(path string, text []byte) error
-	// Rename renames a file, in place of the one that has the name.
+	// Rename renames a file. It replaces an existing file of the new name.
 	Rename(from, to string) error
-	// Sync returns once the names in a directory are on stable storage.
+	// Sync returns once the entries of a directory are on stable storage.
 	Sync(directory string) error
 	// Remove removes a file.
 	Remove(path string) error
 }
 
-// OSFileSystem is the calls of the operating system.
+// OSFileSystem is the file system of the operating system.
 type OSFileSystem struct{}
 
 // Write writes and syncs a file.
--- a/internal/hotrestart/override.go
+++ b/internal/hotrestart/override.go
@@ -8,16 +8,17 @@
 	"salttrack/balance"
 )
 
-// Override is the latest decision of operators about an upstream.
+// Override is an operator's latest setting of whether an upstream is disabled. Earlier versions of the program, called "older program"
+// in the comments below, store no Version and compare overrides by SetAt.
 type Override struct {
 	Disabled    bool           `json:"out"`
-	SetAt       balance.Millis `json:"at"`                // Unix time, which processes of older versions compare
-	Version     uint64         `json:"version,omitempty"` // the higher one is in force; 0 from processes of older versions
-	SetAtUptime balance.Millis `json:"uptime,omitempty"`  // since the start of the machine
+	SetAt       balance.Millis `json:"at"`                // Unix time in ms
+	Version     uint64         `json:"version,omitempty"` // the override with the highest version is in force; 0 from an older program
+	SetAtUptime balance.Millis `json:"uptime,omitempty"`  // uptime of the machine in ms; 0 from an older program
 }
 
-// effectiveVersion is the version by which overrides are compared. An override of an older version of the
-// program has none: its time takes the place, and NextVersion is above it.
+// effectiveVersion returns the version by which overrides are compared. For an override of an older program it is the Unix time SetAt,
+// which NextVersion also exceeds.
 func (o Override) effectiveVersion() uint64 {
 	if o.Version == 0 {
 		return uint64(max(0, o.SetAt))
@@ -25,7 +26,8 @@
 	return o.Version
 }
 
-// supersedes reports whether the override is in force in place of another one. Of two with the same version it is the one that disables.
+// supersedes reports whether the override replaces another one. If both have the same version, the one that disables the upstream
+// supersedes the one that enables it.
 func (o Override) supersedes(other Override) bool {
 	if o.effectiveVersion() != other.effectiveVersion() {
 		return o.effectiveVersion() > other.effectiveVersion()
@@ -33,8 +35,8 @@
 	return o.Disabled && !other.Disabled
 }
 
-// Age is the time since the override was set, at an uptime of the machine. It is 0 if that is not known, since the override is of an
-// older version or from before the machine's last start: such an override counts as new and does not expire.
+// Age returns the time since the override was set, in ms, given the present uptime of the machine. It returns 0 if the age is unknown:
+// for an override of an older program, or one that was set before the last boot. Such an override does not expire.
 func (o Override) Age(uptime balance.Millis) balance.Millis {
 	if o.SetAtUptime <= 0 || o.SetAtUptime > uptime {
 		return 0
@@ -42,19 +44,20 @@
 	return uptime - o.SetAtUptime
 }
 
-// Merge copies the overrides that supersede those of a map into it, and calls changed for each of them.
-func Merge(into, from map[string]Override, changed func(id string, o Override)) {
-	for id, o := range from {
-		if current, known := into[id]; known && !o.supersedes(current) {
+// Merge copies overrides from one map into another, by the name of the upstream. It copies those that are new or supersede the present
+// override of the same upstream, and calls changed for each of them.
+func Merge(into, from map[string]Override, changed func(upstream string, o Override)) {
+	for upstream, o := range from {
+		if current, known := into[upstream]; known && !o.supersedes(current) {
 			continue
 		}
-		into[id] = o
-		changed(id, o)
+		into[upstream] = o
+		changed(upstream, o)
 	}
 }
 
-// NextVersion returns the version of an override that is set at a Unix time: above all known ones, and at least that time, by which
-// processes of older versions compare.
+// NextVersion returns the version of an override that is set at a Unix time in ms. It is higher than all known versions. It is at least
+// the Unix time, since an older program compares overrides by that.
 func NextVersion(known map[string]Override, at balance.Millis) uint64 {
 	next := uint64(max(1, at))
 	for _, o := range known {
@@ -63,12 +66,13 @@
 	return next
 }
 
-// RemoveExpired removes the overrides that enable an upstream and are older than an age: they are in force everywhere.
+// RemoveExpired removes the overrides that enable an upstream and whose age exceeds maxAge, in ms. All processes have applied these.
 func RemoveExpired(overrides map[string]Override, uptime, maxAge balance.Millis) {
 	maps.DeleteFunc(overrides, func(_ string, o Override) bool { return !o.Disabled && o.Age(uptime) > maxAge })
 }
 
-// Uptime is the time since the start of the machine. All its processes share it, and no change of the system time steps it.
+// Uptime returns the time since the boot of the machine in ms, or 0 if it is unknown. It is the same for all processes of the machine,
+// and changes of the system time don't affect it.
 func Uptime() balance.Millis {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
--- a/internal/hotrestart/override_test.go
+++ b/internal/hotrestart/override_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the sequence in which records are merged, the result is the same, and changed is called for each difference.
+// Records can be merged in any sequence with the same result, and changed is called for each override that the merge changes.
 func TestMergeInAnySequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		record := rapid.MapOfN(rapid.SampledFrom([]string{"a", "b", "c"}), rapid.Custom(func(t *rapid.T) Override {
@@ -20,7 +20,7 @@
 		records := rapid.SliceOfN(record, 1, 4).Draw(t, "records")
 		forward, backward, changed := map[string]Override{}, map[string]Override{}, map[string]Override{}
 		for i := range records {
-			Merge(forward, records[i], func(id string, o Override) { changed[id] = o })
+			Merge(forward, records[i], func(upstream string, o Override) { changed[upstream] = o })
 			Merge(backward, records[len(records)-1-i], func(string, Override) {})
 		}
 		same := cmp.Comparer(func(a, b Override) bool {
@@ -32,8 +32,8 @@
 	})
 }
 
-// Overrides supersede each other by version, whatever the clocks of the processes that set them say, also after overrides of an older
-// version of the program, which have a time alone.
+// A later override supersedes an earlier one even if the clock of its process is behind. This also holds if the first override is from an
+// older program and has only a time, but no version.
 func TestVersionsWithSteppedClocks(t *testing.T) {
 	const hour = 3600e3
 	for _, clocks := range [][]float64{{1e12, 1e12 + hour, 1e12}, {1e12, 1e12 - hour, 1e12 + 5}, {1e12, 1e12, 1e12}} {
@@ -54,7 +54,7 @@
 	}
 }
 
-// The age of an override is by the uptime of the machine, and 0 where that is not known.
+// The age of an override is measured by the uptime of the machine. It is 0 if the override has no uptime or a later one.
 func TestAge(t *testing.T) {
 	for uptime, want := range map[float64]float64{0: 0, 500: 400, 99: 0} {
 		if got := (Override{SetAtUptime: 100}).Age(uptime); got != want {
@@ -62,7 +62,7 @@
 		}
 	}
 	if (Override{SetAt: 5}).Age(1e9) != 0 {
-		t.Error("an override without its uptime has an age")
+		t.Error("the age of an override without an uptime is not 0")
 	}
 	if a, b := Uptime(), Uptime(); a <= 0 || b < a {
 		t.Errorf("uptime %v, then %v", a, b)
--- a/internal/hotrestart/record.go
+++ b/internal/hotrestart/record.go
@@ -1,17 +1,17 @@
-// Package hotrestart holds the records by which two processes of one balancer know of each other while one replaces the other: whether
-// a process is ready, whether it is shutting down, and the overrides that operators have set.
+// Package hotrestart exchanges state between the processes of one balancer during a hot restart, in which one process replaces another.
+// Each process publishes a record: whether it is ready, whether it is shutting down, and the overrides that operators have set.
 package hotrestart
 
 import "maps"
 
-// Record is the state that one process publishes. The names in its JSON form are those of earlier versions.
+// Record is the state that one process publishes. The JSON names must not change, since processes of other program versions use them.
 type Record struct {
-	Ready        bool                `json:"ready"` // it accepts new requests
+	Ready        bool                `json:"ready"` // whether the process accepts new requests
 	ShuttingDown bool                `json:"ending"`
-	Overrides    map[string]Override `json:"orders"` // by the upstream's id
+	Overrides    map[string]Override `json:"orders"` // by the name of the upstream
 }
 
-// Clone returns a copy that shares nothing with the record.
+// Clone returns a deep copy of the record.
 func (r Record) Clone() Record {
 	r.Overrides = maps.Clone(r.Overrides)
 	return r
@@ -19,15 +19,15 @@
 
 // PeerRecord is the record of another process of the same balancer.
 type PeerRecord struct {
-	Process string // the store's name of the process
-	Record  Record // the zero record if it has published none, or one that can't be read
+	Process string // name of the process in the store
+	Record  Record // zero Record if the process has published none, or if its record is unreadable
 }
 
-// PeerRecords are the records of all other processes, as of one look at the store.
+// PeerRecords are the records of all other processes, as the result of one read of the store.
 type PeerRecords struct {
-	Live   []PeerRecord
-	Exited []PeerRecord // they stay until a process that has merged them publishes
+	Live   []PeerRecord // records of running processes
+	Exited []PeerRecord // records that are kept until a process publishes a record which includes their overrides
 
-	// Unreadable are the errors of records that can't be used, each a *RecordError that is reported once.
+	// Unreadable has a *RecordError for each unreadable record. The same error is reported only once.
 	Unreadable []error
 }
--- a/internal/hotrestart/replace.go
+++ b/internal/hotrestart/replace.go
@@ -5,11 +5,11 @@
 	"path/filepath"
 )
 
-// temporaryEnding is added to the name of a file that is being written.
-const temporaryEnding = ".new"
+// temporarySuffix is added to the name of a file while it is being written.
+const temporarySuffix = ".new"
 
-// replaceFile replaces a file, whose present text is given, nil if there is none. After a kill at any point the file is the old one or
-// the new one. With an error it is the old one, unless the system refuses to rename it back.
+// replaceFile replaces a file atomically. The parameter old is its present content, nil if it does not exist. If the process is killed
+// at any point, the file has its old or its new content. If an error is returned, it has its old content, unless restoring that failed.
 func replaceFile(files FileSystem, path string, old, text []byte) error {
 	if err := writeAndRename(files, path, text); err != nil {
 		return err
@@ -21,7 +21,7 @@
 	return errors.Join(err, restoreFile(files, path, old))
 }
 
-// restoreFile takes back a replacement that may not be on stable storage.
+// restoreFile undoes a replacement that may not be on stable storage. It removes the file if old is nil.
 func restoreFile(files FileSystem, path string, old []byte) error {
 	if old == nil {
 		return files.Remove(path)
@@ -29,9 +29,9 @@
 	return writeAndRename(files, path, old)
 }
 
-// writeAndRename writes a text to a temporary file, which then gets the name of the other.
+// writeAndRename writes a temporary file and renames it to the given path.
 func writeAndRename(files FileSystem, path string, text []byte) error {
-	temporary := path + temporaryEnding
+	temporary := path + temporarySuffix
 	if err := files.Write(temporary, text); err != nil {
 		return err
 	}
--- a/internal/hotrestart/replace_test.go
+++ b/internal/hotrestart/replace_test.go
@@ -12,16 +12,17 @@
 
 var errKilled = errors.New("killed")
 
-// failingFiles are the system's, but that one call fails, or that the process is killed at it and makes no further call.
+// failingFiles is the file system of the operating system with one failing call.
+// With errKilled all calls after it fail too, as if the process had been killed at that call.
 type failingFiles struct {
 	OSFileSystem
-	failAt     int   // the call, counted from 0
-	err        error // errKilled: this call and all further ones fail
-	writesHalf bool  // a failing write leaves half of its text
-	calls      int
+	failAt     int   // index of the failing call, counted from 0
+	err        error // error of the failing call
+	writesHalf bool  // whether a failing write leaves the first half of its content
+	calls      int   // number of calls so far
 }
 
-// fails counts a call, and reports whether it fails.
+// fails counts a call and reports whether the call has to fail.
 func (f *failingFiles) fails() bool {
 	n := f.calls
 	f.calls++
@@ -59,27 +60,27 @@
 	return f.OSFileSystem.Remove(path)
 }
 
-// replacement is one case of TestReplacedCompletelyOrNot.
+// replacement is one case of TestReplacementIsAtomic.
 type replacement struct {
 	failingFiles
-	first bool // the process has published no record before
+	first bool // whether the process has not published a record before
 }
 
-// Name is the case as failures quote it.
+// name describes the case for failure messages.
 func (r replacement) name() string {
 	return fmt.Sprintf("%v at call %d, writes half %v, first record %v", r.err, r.failAt, r.writesHalf, r.first)
 }
 
-// A record is replaced completely or not at all. Whichever call fails, the peers read the old record and the writer has an error, or they
-// read the new one; success means the new one. After a kill at any call, or half way through a write, the peers read one of the two.
-func TestReplacedCompletelyOrNot(t *testing.T) {
+// A record is replaced atomically, whichever file system call fails. If the writer reports success, its peers read the new record.
+// If it reports an error, they read the old one. If it is killed at a call or halfway through a write, they read one of the two.
+func TestReplacementIsAtomic(t *testing.T) {
 	for _, err := range []error{unix.ENOSPC, unix.EIO, errKilled} {
 		for _, writesHalf := range []bool{false, true} {
 			for _, first := range []bool{false, true} {
 				for failAt := 0; ; failAt++ {
 					r := replacement{failingFiles{failAt: failAt, err: err, writesHalf: writesHalf}, first}
 					r.check(t)
-					if r.calls <= failAt { // each call was made to fail
+					if r.calls <= failAt { // there is no further call that could fail
 						break
 					}
 				}
@@ -88,7 +89,7 @@
 	}
 }
 
-// check publishes a record with a call that fails, and checks what a peer reads.
+// check publishes a record on the failing file system, and checks which record a peer reads.
 func (r *replacement) check(t *testing.T) {
 	t.Helper()
 	parent := t.TempDir()
@@ -111,16 +112,16 @@
 	got := peers.Live[0].Record
 	switch {
 	case err == nil && !cmp.Equal(got, next):
-		t.Errorf("%s: success, and the peer reads %+v", r.name(), got)
+		t.Errorf("%s: Publish succeeds, but the peer reads %+v", r.name(), got)
 	case err != nil && r.err != errKilled && !cmp.Equal(got, old):
-		t.Errorf("%s: an error, and the peer reads %+v", r.name(), got)
+		t.Errorf("%s: Publish fails, but the peer reads %+v", r.name(), got)
 	case !cmp.Equal(got, next) && !cmp.Equal(got, old):
 		t.Errorf("%s: the peer reads %+v", r.name(), got)
 	}
 	if err != nil && r.err != errKilled {
 		writer.files = OSFileSystem{}
 		if err := writer.Publish(next, nil); err != nil {
-			t.Errorf("%s: %v when the calls no longer fail", r.name(), err)
+			t.Errorf("%s: Publish fails with %v after the file system recovered", r.name(), err)
 		}
 	}
 }
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -8,19 +8,19 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// storedRecords are what the records hold that the program of commit 77548c0 wrote into testdata.
+// storedRecords returns the decoded content of the records in testdata, which the program of commit 77548c0 has written.
 func storedRecords() map[string]Record {
-	firstID, escapedID, slashID := "s-0", "<&>\"\\ü\u2028", "a/b.c %"
+	firstName, escapedName, nameWithSlash := "s-0", "<&>\"\\ü\u2028", "a/b.c %"
 	disabled := Override{Disabled: true, SetAt: 1796291727723.053, Version: 1796291727723, SetAtUptime: 697219.118379}
 	several := map[string]Override{
-		firstID:   disabled,
-		escapedID: {Disabled: true, SetAt: 1796291727740.266, Version: 1796291727740, SetAtUptime: 697236.33145},
-		slashID:   {Disabled: true, SetAt: 1796291727736.416, Version: 1796291727736, SetAtUptime: 697232.480778},
-		"s-1":     {SetAt: 1796291727745.002, Version: 1796291727745, SetAtUptime: 697241.067308},
+		firstName:     disabled,
+		escapedName:   {Disabled: true, SetAt: 1796291727740.266, Version: 1796291727740, SetAtUptime: 697236.33145},
+		nameWithSlash: {Disabled: true, SetAt: 1796291727736.416, Version: 1796291727736, SetAtUptime: 697232.480778},
+		"s-1":         {SetAt: 1796291727745.002, Version: 1796291727745, SetAtUptime: 697241.067308},
 	}
 	return map[string]Record{
 		"ready":             {Ready: true, Overrides: map[string]Override{}},
-		"one-disabled":      {Ready: true, Overrides: map[string]Override{firstID: disabled}},
+		"one-disabled":      {Ready: true, Overrides: map[string]Override{firstName: disabled}},
 		"several-overrides": {Ready: true, Overrides: several},
 		"merged-from-peer":  {Ready: true, Overrides: several},
 		"shutting-down":     {ShuttingDown: true, Overrides: several},
@@ -36,7 +36,8 @@
 	return text
 }
 
-// Records of the program of commit 77548c0 are read, and the same state is written byte for byte the same, so that it reads ours.
+// Records that the program of commit 77548c0 has written are decoded, and encoding the same state gives the same bytes. So this program
+// and that one can read each other's records.
 func TestStoredRecords(t *testing.T) {
 	for name, want := range storedRecords() {
 		stored := storedRecord(t, name)
@@ -46,12 +47,12 @@
 		}
 		written, err := encode(want)
 		if diff := cmp.Diff(string(stored), string(written)); err != nil || diff != "" {
-			t.Errorf("%s is written differently: %v %s", name, err, diff)
+			t.Errorf("%s: encoding gives other bytes: %v %s", name, err, diff)
 		}
 	}
 }
 
-// The files have the names by which processes of other versions look for them.
+// The directory and the files have the names under which processes of other program versions look for them.
 func TestStoredFileNames(t *testing.T) {
 	parent := t.TempDir()
 	d := openProcess(t, parent, "n1")
@@ -60,9 +61,9 @@
 	if err := d.Publish(want, nil); err != nil {
 		t.Fatal(err)
 	}
-	const ofName = "salttrack-08b37b07b558d4c0" // FNV-1a of "n1"
-	records, _ := filepath.Glob(filepath.Join(parent, ofName, "p*.record"))
-	locks, _ := filepath.Glob(filepath.Join(parent, ofName, "p*.lock"))
+	const directoryName = "salttrack-08b37b07b558d4c0" // with the FNV-1a hash of "n1"
+	records, _ := filepath.Glob(filepath.Join(parent, directoryName, "p*.record"))
+	locks, _ := filepath.Glob(filepath.Join(parent, directoryName, "p*.lock"))
 	if len(records) != 1 || len(locks) != 1 {
 		t.Fatalf("records %v, locks %v", records, locks)
 	}
@@ -72,17 +73,17 @@
 	}
 }
 
-// A record that another version put beside ours is seen as that of a peer process, live while its lock is held.
+// A record that another program version has written counts as that of a peer process, which is live while its lock is held.
 func TestStoredPeer(t *testing.T) {
 	parent := t.TempDir()
 	peer := openProcess(t, parent, "n1")
-	if err := os.WriteFile(peer.file(peer.process, recordEnding), storedRecord(t, "several-overrides"), 0o600); err != nil {
+	if err := os.WriteFile(peer.file(peer.process, recordSuffix), storedRecord(t, "several-overrides"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	d := openProcess(t, parent, "n1")
 	defer d.Close()
 	want := storedRecords()["several-overrides"]
-	expectPeers(t, "a live peer of another version", d, []Record{want}, nil, 0)
+	expectPeers(t, "a live peer of another program version", d, []Record{want}, nil, 0)
 	peer.Close()
-	expectPeers(t, "the same after its exit", d, nil, []Record{want}, 0)
+	expectPeers(t, "the same peer after its exit", d, nil, []Record{want}, 0)
 }
--- a/internal/hotrestart/worker.go
+++ b/internal/hotrestart/worker.go
@@ -1,32 +1,32 @@
 package hotrestart
 
-// maxQueuedCalls is how many calls of a worker may be queued. Its user has at most one ReadPeers and one Publish under way.
+// maxQueuedCalls is the capacity of a worker's queue. The user of a worker has at most one ReadPeers and one Publish in progress.
 const maxQueuedCalls = 8
 
-// Worker makes the calls of a store on a goroutine of its own, one after the other, so that a slow disk does not block the loop. The
-// results are passed to callbacks on the loop. Its methods are called on the loop.
+// Worker calls the methods of a Store on its own goroutine, one after the other, so that a slow disk does not block the event loop. It
+// passes the results to callbacks on the event loop. Its methods have to be called on the event loop.
 type Worker struct {
 	store Store
 	post  func(func())
 	calls chan func()
 }
 
-// NewWorker returns a worker on a store, which it owns, and starts its goroutine, which runs until Close. Post runs a function on the
-// loop.
+// NewWorker returns a worker for a store, and starts its goroutine, which runs until Close. The worker owns the store. The function post
+// runs a function on the event loop.
 func NewWorker(store Store, post func(func())) *Worker {
 	w := &Worker{store: store, post: post, calls: make(chan func(), maxQueuedCalls)}
 	go w.run()
 	return w
 }
 
-// run makes the queued calls.
+// run executes the queued calls until the queue is closed.
 func (w *Worker) run() {
 	for call := range w.calls {
 		call()
 	}
 }
 
-// ReadPeers reads the records of the other processes.
+// ReadPeers reads the records of the other processes, and calls done with the result.
 func (w *Worker) ReadPeers(done func(PeerRecords, error)) {
 	w.calls <- func() {
 		peers, err := w.store.Peers()
@@ -34,7 +34,7 @@
 	}
 }
 
-// Publish publishes a record, which must not be changed any more.
+// Publish publishes a record, and calls done with the result. The caller must not change the record after the call.
 func (w *Worker) Publish(r Record, merged []string, done func(error)) {
 	w.calls <- func() {
 		err := w.store.Publish(r, merged)
@@ -42,7 +42,7 @@
 	}
 }
 
-// Close closes the store after the queued calls, without waiting for them.
+// Close makes the worker close the store after the queued calls. It returns without waiting for them.
 func (w *Worker) Close() {
 	w.calls <- w.store.Close
 	close(w.calls)
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug reports whether a violation panics in this build.
+// Debug is true in builds with the tag debug, in which a violation panics.
 const Debug = true
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
 // Package invariant checks conditions that must hold while the program runs. A build with the tag debug panics at
-// the first violation. Any other build counts violations, so that a balancer in service continues and the count
-// shows among its counters.
+// the first violation. Any other build only counts violations, so that a balancer in production continues to serve.
+// The balancer exposes the count in its counters.
 package invariant
 
 import "sync/atomic"
@@ -10,10 +10,10 @@
 	panicOnViolation atomic.Bool
 )
 
-// PanicOnViolation makes violations panic in this process, whatever its build. Test programs use it.
+// PanicOnViolation makes violations panic in this process, regardless of the build tag. Test programs use it.
 func PanicOnViolation() { panicOnViolation.Store(true) }
 
-// Check records a violation if a condition is false. The description names the condition in the panic.
+// Check counts a violation if the condition is false. The description is the text of a panic.
 func Check(condition bool, description string) { //revive:disable-line:flag-parameter it is the value that is checked
 	if condition {
 		return
@@ -24,5 +24,5 @@
 	}
 }
 
-// Violations returns the number of violations since the start of the process.
+// Violations returns the number of violations in this process.
 func Violations() uint64 { return violations.Load() }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,5 +2,5 @@
 
 package invariant
 
-// Debug reports whether a violation panics in this build.
+// Debug is false in builds without the tag debug, in which a violation is only counted.
 const Debug = false
--- a/internal/logqueue/queue.go
+++ b/internal/logqueue/queue.go
@@ -1,6 +1,6 @@
-// Package logqueue is a bounded queue of log lines in front of an output that may be slow, blocked or broken, so that
-// whoever logs is never blocked. Lines beyond the bound are dropped and counted, and a line with the number of
-// dropped ones is written as soon as the output accepts lines again.
+// Package logqueue provides a bounded queue of log lines, so that logging never blocks on a slow or failed output. Lines
+// that exceed the bounds are dropped and counted. As soon as the output accepts lines again, the number of dropped lines
+// is written to it.
 package logqueue
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Bounds of the queue.
+// Bounds of the queue: number of lines, and their total size in bytes.
 const (
 	maxQueuedLines = 512
 	maxQueuedBytes = 256 << 10
@@ -19,22 +19,21 @@
 // droppedFormat is the line that reports dropped lines to the output.
 const droppedFormat = "level=warning msg=\"log lines dropped, output too slow\" lines=%d\n"
 
-// Queue is a bounded queue of log lines in front of an output. Its methods are safe for concurrent use.
+// Queue is a bounded queue of log lines for an output. Its methods are safe for concurrent use.
 type Queue struct {
-	output io.Writer // used by the goroutine of New only
+	output io.Writer // only the goroutine that New starts uses it
 
 	mu          sync.Mutex
-	changed     *sync.Cond
+	changed     *sync.Cond // signals changes of lines and writing
 	lines       [][]byte
-	queuedBytes int    // total size of lines
-	writing     bool   // the output is being written to
-	dropped     uint64 // lines dropped since the start
-	unreported  uint64 // dropped lines that the output has not been told about
-	failed      uint64 // lines that the output returned an error for
+	queuedBytes int    // total size of lines, in bytes
+	writing     bool   // whether a write to the output is in progress
+	dropped     uint64 // number of lines dropped since the start
+	unreported  uint64 // number of dropped lines that have not been reported to the output
+	failed      uint64 // number of lines for which the output returned an error
 }
 
-// New returns a queue in front of an output. The goroutine that it starts writes to the output for as long as the
-// process lives.
+// New returns a queue for an output. It starts a goroutine that writes to the output until the process exits.
 func New(output io.Writer) *Queue {
 	q := &Queue{output: output}
 	q.changed = sync.NewCond(&q.mu)
@@ -57,14 +56,14 @@
 	return len(line), nil
 }
 
-// Lost returns the number of lines that were lost: dropped, or failed by the output.
+// Lost returns the number of lines that were dropped or for which the output returned an error.
 func (q *Queue) Lost() uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.dropped + q.failed
 }
 
-// Flush waits until every queued line is written or the timeout has passed, and reports whether all were written.
+// Flush waits until all queued lines are written or the timeout has passed. It reports whether all lines were written.
 func (q *Queue) Flush(timeout time.Duration) bool {
 	deadline := time.Now().Add(timeout)
 	wakeUp := time.AfterFunc(timeout, func() {
@@ -81,7 +80,7 @@
 	return q.flushed()
 }
 
-// flushed reports whether every line is written. Its caller holds the mutex.
+// flushed reports whether all lines are written. The caller has to hold the mutex.
 func (q *Queue) flushed() bool { return len(q.lines) == 0 && !q.writing }
 
 // run writes the queued lines to the output.
@@ -93,7 +92,8 @@
 	}
 }
 
-// next waits for a line to write. If lines were dropped, the line that reports them comes first.
+// next waits until a line is queued, and returns the line to write. If lines were dropped, it first returns a line that
+// reports their number.
 func (q *Queue) next() []byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -112,7 +112,7 @@
 	return line
 }
 
-// finishWrite records the result of a write to the output.
+// finishWrite records the end of a write to the output, and its error.
 func (q *Queue) finishWrite(err error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/logqueue/queue_test.go
+++ b/internal/logqueue/queue_test.go
@@ -12,7 +12,7 @@
 
 const flushTimeout = 10 * time.Second
 
-// output is a writer that blocks while blocked is locked and fails while err is set.
+// output is a writer that blocks while the mutex blocked is locked, and fails while err is set.
 type output struct {
 	blocked sync.Mutex
 
@@ -44,7 +44,7 @@
 	return o.text.String()
 }
 
-// countInOrder returns the number of lines "line N" in a text, and fails if they are not numbered from 0 without gaps.
+// countInOrder returns the number of lines "line N" in a text. The test fails if they are not numbered from 0 without gaps.
 func countInOrder(t *testing.T, text string) int {
 	t.Helper()
 	next := 0
@@ -54,22 +54,22 @@
 			continue
 		}
 		if n != next {
-			t.Fatalf("line %d is written where line %d is expected", n, next)
+			t.Fatalf("line %d is written in place of line %d", n, next)
 		}
 		next++
 	}
 	return next
 }
 
-// A blocked output blocks no writer: lines beyond the bound are dropped, counted and reported, the rest is written
-// in order.
+// A blocked output does not block callers of Write. Lines that exceed the bounds are dropped, counted and reported, and
+// the other lines are written in order.
 func TestBlockedOutput(t *testing.T) {
 	o := &output{}
 	o.blocked.Lock()
 	q := New(o)
 	const lines = 10 * maxQueuedLines
 	fmt.Fprintf(q, "line %d\n", 0)
-	waitForWriter(t, q) // else it may report the lines dropped so far before the first line, and the others after it
+	waitForWriter(t, q) // otherwise the queue could report dropped lines in two parts, before and after the first line
 	for i := 1; i < lines; i++ {
 		fmt.Fprintf(q, "line %d\n", i)
 	}
@@ -107,7 +107,7 @@
 	t.Fatal("the queue does not write to its output")
 }
 
-// The bound on bytes holds where lines are long.
+// The queue drops lines that exceed its bound in bytes.
 func TestBytesAreBounded(t *testing.T) {
 	o := &output{}
 	o.blocked.Lock()
@@ -123,8 +123,8 @@
 	}
 }
 
-// Lines that a broken output fails are counted. Once it works again, later lines are written.
-func TestBrokenOutput(t *testing.T) {
+// Lines for which the output returns an error are counted as lost. Later lines are written once the output works again.
+func TestFailingOutput(t *testing.T) {
 	o := &output{err: errors.New("broken pipe")}
 	q := New(o)
 	fmt.Fprintln(q, "lost")
--- a/internal/node/activity.go
+++ b/internal/node/activity.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// InFlight is the work that a balancer has not finished.
+// InFlight counts the work that a balancer has not finished.
 type InFlight struct {
-	Requests  int // without a final response
-	Exchanges int // with clients
-	Attempts  int // at upstreams, but for those whose response is streamed
+	Requests  int // client requests without a final response
+	Exchanges int // exchanges that are in progress or have attempts in flight
+	Attempts  int // attempts at upstreams, without those whose response is being streamed
 }
 
-// InFlight returns the work that is not finished.
+// InFlight returns the work that the balancer has not finished.
 func (n *Node) InFlight() InFlight {
 	return InFlight{
 		Requests:  n.driver.InProgress(),
@@ -21,7 +21,7 @@
 	}
 }
 
-// String lists the work, "" if there is none.
+// String formats the counts for an error message. It returns "" if nothing is in flight.
 func (f InFlight) String() string {
 	if f == (InFlight{}) {
 		return ""
@@ -29,15 +29,15 @@
 	return fmt.Sprintf("%d requests, %d exchanges, %d attempts", f.Requests, f.Exchanges, f.Attempts)
 }
 
-// Unreleased is what a balancer still holds after Close: all of it is a leak.
+// Unreleased counts the resources that a balancer holds. Each one that is held after Close is a leak.
 type Unreleased struct {
 	InFlight
-	Connections int
-	Timers      int
-	Watches     int // of descriptors, by the loop
+	Connections int // open connections to clients and upstreams
+	Timers      int // pending timers, without those of the balancing decisions
+	Watches     int // descriptors that the event loop watches
 }
 
-// Unreleased returns what is not released.
+// Unreleased returns the resources that the balancer holds.
 func (n *Node) Unreleased() Unreleased {
 	return Unreleased{
 		InFlight:    n.InFlight(),
@@ -47,7 +47,7 @@
 	}
 }
 
-// String lists what is not released, "" if that is nothing.
+// String formats the counts that are not 0 for an error message. It returns "" if nothing is held.
 func (u Unreleased) String() string {
 	var parts []string
 	for _, part := range []struct {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	minSockets     = 48 // fewer leave no descriptors for connections beside the reserved ones
+	minSockets     = 48 // with fewer, the reserved descriptors leave none for connections
 	minMemoryMB    = 8
-	minInheritedFD = 3 // the lower ones are the standard streams
+	minInheritedFD = 3 // descriptors 0, 1 and 2 are the standard streams
 )
 
-// The environment variables of the configuration.
+// Names of the environment variables that set configuration values.
 const (
 	configFileVariable = "BALANCER_CONFIG"
 	nameVariable       = "BALANCER_NAME"
@@ -32,34 +32,35 @@
 	Name            string
 	Listen          netip.AddrPort
 	Discovery       netip.AddrPort
-	Admin           netip.AddrPort // of the admin server; invalid: there is none
-	ListenFD        int            // an inherited listening socket, which the balancer serves on in place of Listen; -1: none
-	Seed            uint64         // of the random numbers
+	Admin           netip.AddrPort // address of the admin server; the zero value disables the server
+	ListenFD        int            // descriptor of an inherited listening socket, used in place of Listen; -1 if none is inherited
+	Seed            uint64         // seed of the random number generator
 	Limits          Limits
-	CachedEndpoints *discovery.Update // the endpoint list as it was known last, which may be outdated
+	CachedEndpoints *discovery.Update // endpoint list in the configuration file, which may be outdated
 	Settings        settings.Settings
 
-	document *settings.Document         // the settings before they were decoded
-	keys     map[string]json.RawMessage // the values of the file, by top-level key
+	document *settings.Document         // settings in undecoded form, for the search for missing keys
+	keys     map[string]json.RawMessage // values of the configuration file by top-level key
 }
 
-// Limits is what a balancer may use of its machine.
+// Limits is the part of the machine's resources that a balancer may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// LimitDescriptors lowers the number of descriptors to what the kernel allows the process.
+// LimitDescriptors lowers the number of descriptors to the limit that the kernel sets for the process.
+// It does not go below minSockets.
 func (l *Limits) LimitDescriptors(kernelLimit uint64) {
 	if kernelLimit < uint64(l.Sockets) {
 		l.Sockets = max(minSockets, int(kernelLimit))
 	}
 }
 
-// Load reads the configuration at the start of the program, from the file that the environment names. Other variables
-// of the environment take precedence over the file. The error is a *ConfigError, or an *fs.PathError if the file can't
-// be read.
+// Load reads the configuration at the start of the program. The variable BALANCER_CONFIG names the file. The other
+// variables take precedence over the values of the file. The error is a *ConfigError, or wraps an *fs.PathError if the
+// file can't be read.
 func Load(env func(string) string) (*Config, error) {
 	config, err := readConfigFile(env, nameVariable, listenVariable, discoveryVariable, adminVariable)
 	if err != nil {
@@ -74,7 +75,7 @@
 		return nil, &ConfigError{
 			Path:    listenFDVariable,
 			Value:   text,
-			Allowed: fmt.Sprintf("from %d on", minInheritedFD),
+			Allowed: fmt.Sprintf("an integer of %d or higher", minInheritedFD),
 			Err:     fmt.Errorf("%s %q %w", listenFDVariable, text, ErrInvalidDescriptor),
 		}
 	}
@@ -82,13 +83,13 @@
 	return config, nil
 }
 
-// Reload reads the configuration again while the program runs. The file is newer than the environment, so the address
-// of discovery is that of the file.
+// Reload reads the configuration again while the program runs. It takes the address of discovery from the file and
+// ignores BALANCER_DISCOVERY, since the file is newer than the environment of the process.
 func Reload(env func(string) string) (*Config, error) {
 	return readConfigFile(env, nameVariable, listenVariable, adminVariable)
 }
 
-// readConfigFile reads the configuration. The given variables take precedence over the file.
+// readConfigFile reads the configuration file. The given environment variables take precedence over its values.
 func readConfigFile(env func(string) string, variables ...string) (*Config, error) {
 	path := env(configFileVariable)
 	if path == "" {
@@ -106,8 +107,8 @@
 	return parser.parse(text, overrides)
 }
 
-// Parse parses the text of a configuration. The overrides, by environment variable, take precedence where they are not
-// empty. The error is a *ConfigError.
+// Parse parses the text of a configuration. The overrides are values by environment variable. An override that is not
+// empty takes precedence over the value in the text. The error is a *ConfigError.
 func Parse(text []byte, overrides map[string]string) (*Config, error) {
 	parser := configParser{}
 	return parser.parse(text, overrides)
--- a/internal/node/config_errors.go
+++ b/internal/node/config_errors.go
@@ -5,25 +5,25 @@
 	"fmt"
 )
 
-// The reasons of a ConfigError that come from no other package.
+// Causes of a ConfigError that are specific to this package.
 var (
 	ErrNoConfigFile      = errors.New("BALANCER_CONFIG is not set")
 	ErrNoSettings        = errors.New("settings are missing")
-	ErrLimitsTooLow      = fmt.Errorf("limits: at least %d sockets, %d MB and some of a core are needed", minSockets, minMemoryMB)
-	ErrMissingKey        = errors.New("is missing, which the running one has")
-	ErrInvalidDescriptor = fmt.Errorf("is not a descriptor from %d on", minInheritedFD)
+	ErrLimitsTooLow      = fmt.Errorf("limits: sockets has to be at least %d, memory_mb at least %d and cores above 0", minSockets, minMemoryMB)
+	ErrMissingKey        = errors.New("is missing, but the running configuration has it")
+	ErrInvalidDescriptor = fmt.Errorf("is not a file descriptor of %d or higher", minInheritedFD)
 )
 
-// ConfigError is a configuration that a balancer can't work with.
+// ConfigError reports an invalid configuration.
 type ConfigError struct {
-	File    string // the configuration file, "" if the text was not read from a file
-	Path    string // of the value in the file, or the name of an environment variable; "" if the text is no JSON
-	Value   string // as it was read, "" if it is missing or an object
-	Allowed string // the form or range of allowed values, "" if Err says so
-	Err     error  // what is wrong, with the path and the value where a reader needs them
+	File    string // path of the configuration file, "" if the text was not read from a file
+	Path    string // path of the invalid value, or name of an environment variable; "" if the text is not valid JSON
+	Value   string // value as written in the configuration, "" if it is missing or an object
+	Allowed string // form or range of the allowed values, "" if Err states it
+	Err     error  // cause, with the path and the value where a reader needs them
 }
 
-// Error names the file and what is wrong.
+// Error returns the message of the cause, after the path of the configuration file if there is one.
 func (e *ConfigError) Error() string {
 	if e.File == "" {
 		return e.Err.Error()
@@ -31,5 +31,5 @@
 	return fmt.Sprintf("configuration %s: %v", e.File, e.Err)
 }
 
-// Unwrap returns what is wrong, such as a *settings.Error.
+// Unwrap returns the cause, for example a *settings.Error.
 func (e *ConfigError) Unwrap() error { return e.Err }
--- a/internal/node/config_errors_test.go
+++ b/internal/node/config_errors_test.go
@@ -27,9 +27,9 @@
 	return func(name string) string { return variables[name] }
 }
 
-// The texts of configuration errors are read by operators and their tools, so they are compared validConfig.
+// Operators and their tools read the texts of configuration errors, so the test compares each text completely.
 func TestErrorTextsOfConfiguration(t *testing.T) { //revive:disable-line:function-length a table of cases
-	const limits = "limits: at least 48 sockets, 8 MB and some of a core are needed"
+	const limits = "limits: sockets has to be at least 48, memory_mb at least 8 and cores above 0"
 	for _, tt := range []struct{ old, replacement, want string }{
 		{"", "", ""},
 		{`"listen":"127.0.0.1:8000"`, `"listen":"nowhere"`, `listen "nowhere": not an ip:port`},
@@ -91,20 +91,20 @@
 		{map[string]string{"BALANCER_CONFIG": valid, "BALANCER_LISTEN": "here"}, "configuration " + valid + `: listen "here": not an ip:port`},
 		{map[string]string{"BALANCER_CONFIG": valid, "BALANCER_DISCOVERY": "here"}, "configuration " + valid + `: discovery "here": not an ip:port`},
 		{map[string]string{"BALANCER_CONFIG": valid, "BALANCER_ADMIN": "here"}, "configuration " + valid + `: admin "here": not an ip:port`},
-		{map[string]string{"BALANCER_CONFIG": valid, "BALANCER_LISTEN_FD": "2"}, `BALANCER_LISTEN_FD "2" is not a descriptor from 3 on`},
-		{map[string]string{"BALANCER_CONFIG": valid, "BALANCER_LISTEN_FD": "x"}, `BALANCER_LISTEN_FD "x" is not a descriptor from 3 on`},
+		{map[string]string{"BALANCER_CONFIG": valid, "BALANCER_LISTEN_FD": "2"}, `BALANCER_LISTEN_FD "2" is not a file descriptor of 3 or higher`},
+		{map[string]string{"BALANCER_CONFIG": valid, "BALANCER_LISTEN_FD": "x"}, `BALANCER_LISTEN_FD "x" is not a file descriptor of 3 or higher`},
 		{map[string]string{"BALANCER_CONFIG": valid, "BALANCER_LISTEN_FD": "3"}, ""},
 	} {
 		_, err := Load(environment(tt.variables))
 		settingstest.CheckErrorText(t, tt.variables["BALANCER_LISTEN_FD"], err, tt.want)
 	}
 	_, err := Reload(environment(map[string]string{"BALANCER_CONFIG": valid, "BALANCER_LISTEN_FD": "2", "BALANCER_DISCOVERY": "here"}))
-	settingstest.CheckErrorText(t, "neither counts on reload", err, "")
+	settingstest.CheckErrorText(t, "a reload ignores both variables", err, "")
 	_, err = Reload(environment(map[string]string{"BALANCER_CONFIG": invalid}))
-	settingstest.CheckErrorText(t, "unreadable on reload", err, "configuration "+invalid+": unexpected end of JSON input")
+	settingstest.CheckErrorText(t, "reload of invalid JSON", err, "configuration "+invalid+": unexpected end of JSON input")
 }
 
-// A key that the running configuration has and the file that was read again lacks is named by its path.
+// The error of a reload names the path of a key that the running configuration has and the reloaded file lacks.
 func TestMissingKeysOfReload(t *testing.T) {
 	running, err := Parse([]byte(validConfig), nil)
 	if err != nil {
@@ -132,7 +132,7 @@
 		}
 		wantText := ""
 		if tt.want != "" {
-			wantText = "configuration: " + tt.want + " is missing, which the running one has"
+			wantText = "configuration: " + tt.want + " is missing, but the running configuration has it"
 		}
 		err = again.verifyKeys(running)
 		settingstest.CheckErrorText(t, tt.old+" -> "+tt.replacement, err, wantText)
--- a/internal/node/config_parser.go
+++ b/internal/node/config_parser.go
@@ -12,14 +12,14 @@
 	"salttrack/internal/settings"
 )
 
-// Limits of a configuration that states none.
+// Limits that apply where the configuration file sets none.
 const (
 	defaultCores    = 1
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 )
 
-// file is the JSON object of a configuration file. Other keys are ignored.
+// file is the JSON object of a configuration file. Unknown keys are ignored.
 type file struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -31,7 +31,7 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// override replaces the values that environment variables give.
+// override replaces the values for which an environment variable is set. The key of the map is the variable's name.
 func (f *file) override(overrides map[string]string) {
 	for variable, field := range map[string]*string{
 		nameVariable:      &f.Name,
@@ -47,10 +47,10 @@
 
 // configParser parses the text of a configuration.
 type configParser struct {
-	file string // its name, for errors; "" if the text is not that of a file
+	file string // path for error messages, "" if the text was not read from a file
 }
 
-// fail returns a *ConfigError. Allowed is "" where the cause says what is allowed.
+// fail returns a *ConfigError. The parameter allowed is "" if the cause states the allowed values.
 func (p *configParser) fail(path, value, allowed string, cause error) error {
 	return &ConfigError{File: p.file, Path: path, Value: value, Allowed: allowed, Err: cause}
 }
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// parseSeed accepts a hexadecimal number. Any other text is hashed.
+// parseSeed parses a seed as a hexadecimal number. For any other text it returns the FNV-1a hash of the text.
 func parseSeed(text string) uint64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return seed
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// settingsError takes the path and the value from an error of a setting.
+// settingsError returns a *ConfigError with the path and the value of a *settings.Error.
 func (p *configParser) settingsError(err error) error {
 	var setting *settings.Error
 	if !errors.As(err, &setting) {
--- a/internal/node/config_reload.go
+++ b/internal/node/config_reload.go
@@ -7,8 +7,8 @@
 	"salttrack/internal/settings"
 )
 
-// verifyKeys returns a *ConfigError if this configuration lacks a key that the running one has: a default must not
-// replace a value that got lost from the file.
+// verifyKeys returns a *ConfigError if this configuration lacks a key that the running one has. Without this check a
+// default would replace a value that was removed from the file by accident.
 func (c *Config) verifyKeys(running *Config) error {
 	path := c.missingPath(running)
 	if path == "" {
@@ -17,7 +17,8 @@
 	return &ConfigError{Path: path, Err: fmt.Errorf("configuration: %s %w", path, ErrMissingKey)}
 }
 
-// missingPath returns the path of a key that the running configuration has and this one lacks, "" if there is none.
+// missingPath returns the path of a key that the running configuration has and this one lacks.
+// It returns "" if there is none.
 func (c *Config) missingPath(running *Config) string {
 	for _, key := range [...]string{"name", "listen", "discovery", "admin", "seed", "limits", "known"} {
 		if _, ok := running.keys[key]; ok && c.keys[key] == nil {
@@ -36,7 +37,7 @@
 func (c *Config) missingLimit(running *Config) string {
 	const key = "limits"
 	runningLimits, err := settings.ParseJSON(running.keys[key])
-	if err != nil { // the running configuration states none
+	if err != nil { // the running configuration has no limits
 		return ""
 	}
 	limits, err := settings.ParseJSON(c.keys[key])
@@ -49,8 +50,9 @@
 	return ""
 }
 
-// nextSettings returns the settings that replace the running ones. What identifies the instance stays until the next
-// start: its number and tier, its zone and the names of the zones, and how it receives endpoint updates.
+// nextSettings returns the settings that replace the running ones. The settings that identify the instance do not change
+// before a restart: its number and tier, its zone and the names of the zones, and how it receives endpoint updates.
+// The function inUse reports whether a request in progress uses a class number.
 func (c *Config) nextSettings(running settings.Settings, inUse func(class uint8) bool) (settings.Settings, error) {
 	next, err := c.Settings.WithClassNumbers(running, inUse)
 	if err != nil {
@@ -65,8 +67,8 @@
 	return next, nil
 }
 
-// restartOnlyChanges returns the paths of the changes in a reloaded configuration that take effect only at the next
-// start.
+// restartOnlyChanges returns the paths of the values that differ in a reloaded configuration
+// and that take effect only when the process is restarted.
 func (c *Config) restartOnlyChanges(reloaded *Config) []string {
 	var changed []string
 	for path, same := range map[string]bool{
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -15,28 +15,28 @@
  "classes":[{"name":"read","on_time_ms":2000,"deadline_ms":5000,"worth":12,"idempotency":"retryable"},
  {"name":"pay","on_time_ms":2000,"deadline_ms":5000,"worth":1,"idempotency":"dedup","group":"zone","window_ms":700}]}}`
 
-// Whatever key is lost from the file, the running configuration is not replaced by defaults.
+// A reload fails if any key is missing from the file: the default must not replace the running value.
 func TestEveryMissingKey(t *testing.T) {
 	running, err := Parse([]byte(validConfig), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ofDiscovery := map[string]bool{"revision": true, "complete": true, "members": true}
+	endpointListKeys := map[string]bool{"revision": true, "complete": true, "members": true}
 	tried := 0
 	for _, match := range regexp.MustCompile(`"(\w+)":`).FindAllStringSubmatchIndex(validConfig, -1) {
 		start, end := match[2], match[3]
 		key := validConfig[start:end]
-		if ofDiscovery[key] {
+		if endpointListKeys[key] {
 			continue
 		}
 		tried++
-		again, err := Parse([]byte(validConfig[:start]+"lost-"+validConfig[start:]), nil)
-		if err == nil && again.verifyKeys(running) == nil {
-			t.Errorf("a configuration without %s is accepted", key)
+		reloaded, err := Parse([]byte(validConfig[:start]+"renamed-"+validConfig[start:]), nil)
+		if err == nil && reloaded.verifyKeys(running) == nil {
+			t.Errorf("a configuration without the key %s is accepted", key)
 		}
 	}
 	if tried < 40 {
-		t.Errorf("%d keys were tried", tried)
+		t.Errorf("%d keys were tested, want at least 40", tried)
 	}
 }
 
--- a/internal/node/longest_test.go
+++ b/internal/node/longest_test.go
@@ -7,16 +7,16 @@
 	"salttrack/internal/settings"
 )
 
-// The longest deadline, which the schedule of a shutdown follows, is that of the classes that new requests may name. A
-// class that a reload has dropped does not count, though its number is kept for requests in progress.
+// The longest deadline, which determines the schedule of a shutdown, is the maximum over the classes that new requests may use.
+// A class that a reload has removed does not count, although requests in progress still use its number.
 func TestLongestDeadlineOfCurrentClasses(t *testing.T) {
-	s := settings.Settings{ClassNames: []string{"read", "dropped"}}
+	s := settings.Settings{ClassNames: []string{"read", "removed"}}
 	s.Classes = []balance.Class{{Deadline: 755}, {Deadline: 5000, Removed: true}}
 	got := downstreamSettings(&s)
 	if got.LongestDeadline != 755 {
 		t.Errorf("longest deadline %v, want 755", got.LongestDeadline)
 	}
-	if _, named := got.Classes["dropped"]; named || len(got.Idempotency) != 2 {
-		t.Errorf("%+v", got)
+	if _, listed := got.Classes["removed"]; listed || len(got.Idempotency) != 2 {
+		t.Errorf("settings %+v, want class removed only in Idempotency", got)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node assembles one balancer: the clients' side, the upstreams' side, discovery, the driver of the decisions and the admin
-// server on one loop. Which kernel the loop runs on, the machine's or a virtual one, and where shutdowns, reloads and overrides come
-// from, signals or a scenario, is up to its user.
+// Package node assembles one balancer on one event loop: the downstream server for clients, the pool of connections to upstreams,
+// discovery, the driver of the balancing decisions, and the admin server. The caller chooses the kernel of the loop, which is that of
+// the operating system or a simulated one. The caller also triggers shutdowns, reloads and overrides, by signals or by a simulation.
 package node
 
 import (
@@ -20,19 +20,20 @@
 	"salttrack/internal/upstream"
 )
 
-// maxLoopWaitMs bounds one wait of the loop for events. A request may have arrived that much earlier than the time it is stamped with.
+// maxLoopWaitMs is the longest wait of the event loop for events, in ms. If the process gets no CPU during a wait, a request may have
+// arrived earlier than its recorded arrival time. This limit bounds the difference.
 const maxLoopWaitMs = 25
 
-// Node is one balancer. Its methods are called on its loop.
+// Node is one balancer. Its methods have to be called on its event loop.
 type Node struct {
 	Counters counter.Set
-	Trace    *trace.Tracer // disabled at first
+	Trace    *trace.Tracer // disabled until SetEnabled is called
 
-	Err error // why the loop was stopped, if the balancer can't serve
+	Err error // error that stopped the loop because the balancer can't serve, nil if there is none
 
-	config   *Config           // as of the start
-	reloaded *Config           // as of the last successful reload, or of the start
-	settings settings.Settings // in force
+	config   *Config           // configuration at the start of the process
+	reloaded *Config           // configuration of the last successful reload, or of the start if there was none
+	settings settings.Settings // settings in force
 	log      *logrus.Entry
 	started  balance.Millis
 
@@ -44,10 +45,10 @@
 	driver      *driver.Driver
 	server      *downstream.Server
 	pool        *upstream.Pool
-	admin       *admin.Server // nil if none is configured
-	peers       *peerSync     // nil if no other process can replace this one
+	admin       *admin.Server // nil if no admin server is configured
+	peers       *peerSync     // nil if hot restart is disabled
 
-	listening    bool // for clients
+	listening    bool // whether the balancer listens for clients
 	shuttingDown bool
 
 	reloads       *counter.Counter
@@ -78,7 +79,7 @@
 		OnUpdate: n.onEndpointUpdate,
 		Log:      log,
 	})
-	n.createSides(r)
+	n.createDataPath(r)
 	if c.Admin.IsValid() {
 		n.admin = admin.New(admin.Options{Loop: l, MaxConnections: r.maxAdminConnections(), Counters: &n.Counters, Balancer: n})
 	}
@@ -86,9 +87,9 @@
 	return n
 }
 
-// createSides creates the two sides and the driver between them. The clients' side comes first: the descriptor table sheds the idle
-// connections of its users in the sequence of their creation, and those to upstreams are to stay longest.
-func (n *Node) createSides(r resources) {
+// createDataPath creates the downstream server, the upstream pool and the driver between them. The server is created first, since
+// idle connections are closed in the order in which their owners were created, and those to upstreams should be closed last.
+func (n *Node) createDataPath(r resources) {
 	n.server = downstream.NewServer(downstream.Options{
 		Loop:          n.loop,
 		Table:         n.descriptors,
@@ -123,7 +124,7 @@
 	n.server.SetRequestHandler(n.driver)
 }
 
-// registerCounters adds the balancer's own counters and gauges.
+// registerCounters adds the counters and gauges that belong to no component.
 func (n *Node) registerCounters() {
 	n.reloads = n.Counters.New("config_reloads")
 	n.failedReloads = n.Counters.New("config_reloads_failed")
@@ -132,13 +133,13 @@
 	n.Counters.Gauge("invariant_violations", invariant.Violations)
 }
 
-// onEndpointUpdate passes an update of the endpoint list on: the addresses to the pool, the endpoints to the decisions.
+// onEndpointUpdate passes the addresses of an endpoint update to the upstream pool, and the endpoints to the driver.
 func (n *Node) onEndpointUpdate(u *discovery.Update) {
 	n.registry.ObserveClocks(n.loop.Now(), n.loop.Wall())
 	n.driver.UpdateEndpoints(n.registry.Apply(u, n.pool))
 }
 
-// Start starts discovery and the admin server, and lets clients connect once the endpoint list is known.
+// Start starts discovery and the admin server. The balancer listens for clients as soon as it is synced.
 func (n *Node) Start() error {
 	n.onEndpointUpdate(n.config.CachedEndpoints)
 	n.driver.Start()
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// Close closes everything that the balancer has opened, whatever is in flight.
+// Close closes all sockets of the balancer and stops its timers, even if requests are in flight.
 func (n *Node) Close() {
 	if n.admin != nil {
 		n.admin.Close()
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -2,41 +2,41 @@
 
 import "salttrack/internal/hotrestart"
 
-// KnowsUpstream reports whether an upstream with the id was ever on the endpoint list.
-func (n *Node) KnowsUpstream(id string) bool {
-	_, known := n.registry.Lookup(id)
+// KnowsUpstream reports whether the named upstream is on the endpoint list, is disabled, or was recently removed from the list.
+func (n *Node) KnowsUpstream(name string) bool {
+	_, known := n.registry.Lookup(name)
 	return known
 }
 
-// SetDisabled disables an upstream, whatever the endpoint list says, or enables it again. Done is called once that is in force and, if
-// other processes can replace this one, stored for them, or with the reason why it is not.
-func (n *Node) SetDisabled(id string, disabled bool, done func(error)) {
+// SetDisabled disables an upstream regardless of its state in the endpoint list, or enables it again. It calls done with nil once the
+// override is in force and, if hot restart is enabled, stored for the peer processes. Otherwise it calls done with the error.
+func (n *Node) SetDisabled(name string, disabled bool, done func(error)) {
 	if n.peers != nil {
-		n.peers.setOverride(id, disabled, done)
+		n.peers.setOverride(name, disabled, done)
 		return
 	}
-	n.applyOverride(id, hotrestart.Override{Disabled: disabled})
+	n.applyOverride(name, hotrestart.Override{Disabled: disabled})
 	done(nil)
 }
 
 // applyOverride puts an override in force in this process.
-func (n *Node) applyOverride(id string, o hotrestart.Override) {
+func (n *Node) applyOverride(name string, o hotrestart.Override) {
 	if o.Disabled {
-		n.disable(id)
+		n.disable(name)
 		return
 	}
-	n.enable(id)
+	n.enable(name)
 }
 
-// disable lets no request go to an upstream. Its number stays the same while it is off the endpoint list.
-func (n *Node) disable(id string) {
-	n.log.WithField("upstream", id).Info("upstream disabled by operator")
-	n.driver.Disable(n.registry.Pin(id))
+// disable stops sending requests to an upstream. The upstream keeps its id even while it is missing from the endpoint list.
+func (n *Node) disable(name string) {
+	n.log.WithField("upstream", name).Info("upstream disabled by operator")
+	n.driver.Disable(n.registry.Pin(name))
 }
 
-// enable lets requests go to an upstream again.
-func (n *Node) enable(id string) {
-	n.log.WithField("upstream", id).Info("upstream enabled by operator")
-	n.driver.Enable(n.registry.Pin(id))
-	n.registry.Unpin(id)
+// enable allows requests to an upstream again.
+func (n *Node) enable(name string) {
+	n.log.WithField("upstream", name).Info("upstream enabled by operator")
+	n.driver.Enable(n.registry.Pin(name))
+	n.registry.Unpin(name)
 }
--- a/internal/node/overrides_test.go
+++ b/internal/node/overrides_test.go
@@ -10,13 +10,13 @@
 	"salttrack/internal/hotrestart"
 )
 
-// fakeStore is a store in memory, whose Publish may fail or block.
+// fakeStore is a hotrestart.Store in memory. A test can make its Publish fail or block.
 type fakeStore struct {
 	mu        sync.Mutex
 	published hotrestart.Record
-	err       error         // of Publish
-	block     chan struct{} // Publish returns once it is closed; nil: at once
-	peers     hotrestart.PeerRecords
+	err       error                  // error that Publish returns
+	block     chan struct{}          // if not nil, Publish blocks until the channel is closed
+	peers     hotrestart.PeerRecords // result of Peers
 }
 
 func (s *fakeStore) Publish(r hotrestart.Record, _ []string) error {
@@ -42,22 +42,22 @@
 
 func (s *fakeStore) Close() {}
 
-// set changes what the store does.
-func (s *fakeStore) set(change func()) {
+// configure runs a function that changes fields of the store, under its mutex.
+func (s *fakeStore) configure(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
 // isDisabled reports whether the stored record disables an upstream.
-func (s *fakeStore) isDisabled(id string) bool {
+func (s *fakeStore) isDisabled(upstream string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.published.Overrides[id].Disabled
+	return s.published.Overrides[upstream].Disabled
 }
 
-// newPeerBalancer returns a running balancer that another process can replace.
-func newPeerBalancer(t *testing.T, store *fakeStore) *runningBalancer {
+// newHotRestartBalancer returns a running balancer with hot restart enabled.
+func newHotRestartBalancer(t *testing.T, store *fakeStore) *runningBalancer {
 	t.Helper()
 	r := newBalancer(t, endpoint("127.0.0.1:1", "in_service"))
 	r.Do(func() {
@@ -74,54 +74,54 @@
 	return r
 }
 
-// disable disables s-1, and returns the channel of the answer.
+// disable disables upstream s-1, and returns a channel of the results that the balancer reports.
 func (r *runningBalancer) disable() <-chan error {
-	answered := make(chan error, 2)
-	r.Do(func() { r.node.SetDisabled("s-1", true, func(err error) { answered <- err }) })
-	return answered
+	results := make(chan error, 2)
+	r.Do(func() { r.node.SetDisabled("s-1", true, func(err error) { results <- err }) })
+	return results
 }
 
-// An override is answered with success once it is stored, and with the store's error if it can't be.
+// An override succeeds once it is stored. If storing fails, it fails with the store's error and is not in force.
 func TestOverrideIsStored(t *testing.T) {
 	store := &fakeStore{}
-	r := newPeerBalancer(t, store)
+	r := newHotRestartBalancer(t, store)
 	full := &hotrestart.StorageError{Err: unix.ENOSPC}
-	store.set(func() { store.err = full })
+	store.configure(func() { store.err = full })
 	if err := <-r.disable(); !errors.Is(err, unix.ENOSPC) || store.isDisabled("s-1") {
-		t.Errorf("on a full disk: %v", err)
+		t.Errorf("override on a full disk: error %v, want ENOSPC; stored %v", err, store.isDisabled("s-1"))
 	}
-	store.set(func() { store.err = nil })
+	store.configure(func() { store.err = nil })
 	if err := <-r.disable(); err != nil || !store.isDisabled("s-1") {
-		t.Errorf("%v, stored %v", err, store.isDisabled("s-1"))
+		t.Errorf("override: error %v, stored %v", err, store.isDisabled("s-1"))
 	}
 }
 
-// An override whose record is not stored in time is answered once, with the text that operators' scripts know.
+// An override that is not stored in time fails once, with the error text that operators' scripts expect.
 func TestOverrideTimeout(t *testing.T) {
 	t.Parallel()
 	store := &fakeStore{}
-	r := newPeerBalancer(t, store)
+	r := newHotRestartBalancer(t, store)
 	block := make(chan struct{})
-	store.set(func() { store.block = block })
-	answered := r.disable()
-	err := <-answered // in real time: a pass ends at the timer of the next poll
+	store.configure(func() { store.block = block })
+	results := r.disable()
+	err := <-results // the timeout passes in real time, since Pass stops at the timer of the next poll
 	if !errors.Is(err, ErrOverrideTimeout) || err.Error() != "the folder of orders does not answer: the order is carried out only if it does" {
-		t.Errorf("answered %v", err)
+		t.Errorf("override with a blocked store: error %v", err)
 	}
 	close(block)
-	r.until("the override is stored after all", func() bool { return store.isDisabled("s-1") })
+	r.waitUntil("the override is stored", func() bool { return store.isDisabled("s-1") })
 	r.Do(func() {})
 	select {
-	case err := <-answered:
-		t.Errorf("answered again: %v", err)
+	case err := <-results:
+		t.Errorf("a second result is reported: %v", err)
 	default:
 	}
 }
 
-// A live peer process has half of the descriptors, and its overrides are in force here.
+// While a peer process is live, resources are split with it, and its overrides are in force in this process.
 func TestPeerRecords(t *testing.T) {
 	store := &fakeStore{}
-	r := newPeerBalancer(t, store)
+	r := newHotRestartBalancer(t, store)
 	splitting := func() (s bool) {
 		r.Do(func() { s = r.node.peers.split })
 		return s
@@ -129,16 +129,16 @@
 	if splitting() {
 		t.Error("resources are split without a peer")
 	}
-	store.set(func() {
+	store.configure(func() {
 		record := hotrestart.Record{Ready: true, Overrides: map[string]hotrestart.Override{"s-1": {Disabled: true, SetAt: 5}}}
 		store.peers.Live = []hotrestart.PeerRecord{{Process: "p1", Record: record}}
 	})
-	r.until("the peer's record is applied", func() bool { return splitting() && store.isDisabled("s-1") })
+	r.waitUntil("the peer's record is applied", func() bool { return splitting() && store.isDisabled("s-1") })
 	r.Do(func() {
 		if !r.node.peers.hasSuccessor() {
-			t.Error("the ready peer is no successor")
+			t.Error("the ready peer does not count as a successor")
 		}
 	})
-	store.set(func() { store.peers.Live = nil })
-	r.until("all resources are this process's again", func() bool { return !splitting() })
+	store.configure(func() { store.peers.Live = nil })
+	r.waitUntil("the resources are no longer split", func() bool { return !splitting() })
 }
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -10,31 +10,32 @@
 
 const (
 	peerPollInterval balance.Millis = 25
-	peerSyncTimeout  balance.Millis = 3000 // of the first read at the start, by which the overrides in force become known
+	peerSyncTimeout  balance.Millis = 3000 // time that the start waits for the first read of the peers' records and their overrides
 )
 
-// peerSync keeps this process in step with its peer processes, of which one replaces another in a hot restart: it publishes this process's
-// record, and applies what the peers' records say. The worker, which it owns, makes the calls of the store off the loop.
+// peerSync exchanges state with the peer processes, which replace each other in hot restarts. It publishes the record of this process
+// and applies the records of the peers. It owns the worker, which calls the store on another goroutine than that of the event loop.
 type peerSync struct {
 	node           *Node
 	worker         *hotrestart.Worker
-	setMemoryShare func(share float64) // limits the memory of the process
+	setMemoryShare func(share float64) // sets the memory limit of the process as a share of the configured limit
 	nextPoll       *timer.Timer
 
-	reading bool                    // a read is under way
-	synced  bool                    // the peers' records were read at least once
-	live    []hotrestart.PeerRecord // as of the last read
-	split   bool                    // the resources are split with a live peer
+	reading bool                    // whether a read of the peers' records is in progress
+	synced  bool                    // whether the peers' records have been read at least once
+	live    []hotrestart.PeerRecord // records of the live peers at the last read
+	split   bool                    // whether the resources are split with a live peer
 
-	record          hotrestart.Record // the state of this process
-	unpublished     bool              // the stored record differs from it
-	publishing      bool              // the record is being stored
-	mergedProcesses []string          // processes that have exited, whose overrides the record contains but not yet the stored one
-	pending         []*pendingOverride
+	record          hotrestart.Record  // state of this process
+	unpublished     bool               // whether the stored record differs from the state of this process
+	publishing      bool               // whether a record is being stored
+	mergedProcesses []string           // exited processes whose overrides are merged into record but not yet into the stored one
+	pending         []*pendingOverride // overrides that wait to be stored, the oldest first
 }
 
-// EnableHotRestart lets another process replace this one, and this one another, by records in a store, which the balancer then owns. It
-// is called before Start. SetMemoryShare is called with the share of the memory limit that this process has from then on.
+// EnableHotRestart lets processes of the same balancer replace each other. They exchange records through a store, which the balancer
+// owns from then on. EnableHotRestart has to be called before Start. The balancer calls setMemoryShare whenever the share of the
+// configured memory limit that this process may use changes.
 func (n *Node) EnableHotRestart(store hotrestart.Store, setMemoryShare func(share float64)) {
 	n.peers = &peerSync{
 		node:           n,
@@ -45,7 +46,7 @@
 	}
 }
 
-// poll reads the peers' records and publishes this process's record, now and at each interval.
+// poll reads the peers' records, publishes the record of this process, and sets the timer of the next poll.
 func (p *peerSync) poll() {
 	if !p.reading {
 		p.reading = true
@@ -55,7 +56,7 @@
 	p.nextPoll = p.node.loop.After(peerPollInterval, p.poll)
 }
 
-// onPeerRecords applies the peers' records, and publishes what they change in this process's record.
+// onPeerRecords applies the peers' records, and publishes the record of this process if they have changed it.
 func (p *peerSync) onPeerRecords(peers hotrestart.PeerRecords, err error) {
 	p.reading = false
 	log := p.node.log
@@ -81,22 +82,22 @@
 	p.publish()
 }
 
-// onOverride applies an override that a peer process was given. An upstream that was enabled not long ago goes through its slow start,
-// also in a process that did not know of its being disabled.
-func (p *peerSync) onOverride(id string, o hotrestart.Override) {
+// onOverride applies an override that was set in a peer process. An upstream that was enabled less than a slow start ago is warming up.
+// It is disabled and enabled here, so that its slow start also begins in a process that never saw it disabled.
+func (p *peerSync) onOverride(name string, o hotrestart.Override) {
 	p.unpublished = true
 	n := p.node
 	if o.Disabled {
-		n.disable(id)
+		n.disable(name)
 		return
 	}
 	if o.Age(hotrestart.Uptime()) < n.settings.SlowStartDuration {
-		n.driver.Disable(n.registry.Pin(id))
-		n.enable(id)
+		n.driver.Disable(n.registry.Pin(name))
+		n.enable(name)
 	}
 }
 
-// splitResources gives this process half of the descriptors and of the memory while a peer process is live.
+// splitResources limits this process to half of the descriptors and of the memory while a peer process is live.
 func (p *peerSync) splitResources() {
 	split := len(p.live) > 0
 	if split == p.split {
@@ -111,7 +112,8 @@
 	p.setMemoryShare(share)
 }
 
-// publish stores the next pending override, or else the record if it has changed, unless a record is being stored.
+// publish stores the oldest pending override. If there is none, it stores the record if that has changed.
+// It does nothing while a record is being stored.
 func (p *peerSync) publish() {
 	n := p.node
 	if ready := n.Ready(); ready != p.record.Ready || n.shuttingDown != p.record.ShuttingDown {
@@ -128,7 +130,7 @@
 	}
 }
 
-// publishRecord stores the record. After an error it is stored at the next interval.
+// publishRecord stores the record. After an error it retries at the next poll.
 func (p *peerSync) publishRecord() {
 	p.publishing = true
 	p.unpublished = false
@@ -146,19 +148,19 @@
 	})
 }
 
-// hasSuccessor reports whether a live peer process accepts requests and is not shutting down.
+// hasSuccessor reports whether a live peer process is ready for requests and is not shutting down.
 func (p *peerSync) hasSuccessor() bool {
 	return slices.ContainsFunc(p.live, func(peer hotrestart.PeerRecord) bool {
 		return peer.Record.Ready && !peer.Record.ShuttingDown
 	})
 }
 
-// blocksStart reports whether the start has to wait for the first read of the peers' records.
+// blocksStart reports whether the start of the balancer has to wait for the first read of the peers' records.
 func (p *peerSync) blocksStart() bool {
 	return !p.synced && p.node.loop.Now() < p.node.started+peerSyncTimeout
 }
 
-// close ends this process's part. It waits for no call of the store.
+// close stops the polling and closes the store. It does not wait for calls of the store that are in progress.
 func (p *peerSync) close() {
 	p.node.loop.Timers.Stop(p.nextPoll)
 	p.worker.Close()
--- a/internal/node/peer_overrides.go
+++ b/internal/node/peer_overrides.go
@@ -7,25 +7,25 @@
 	"salttrack/internal/hotrestart"
 )
 
-// overrideTimeout is the time until an override is answered whose record is not stored.
+// overrideTimeout is the time after which an override fails with ErrOverrideTimeout if its record is not stored.
 const overrideTimeout balance.Millis = 5000
 
-// retainedSlowStarts is for how many slow starts an override that enables an upstream stays in the record: a process that starts later
-// need not know of it.
+// retainedSlowStarts is the time that an override which enables an upstream stays in the record, in durations of a slow start.
+// A process that starts later does not need it, since the upstream is warm by then.
 const retainedSlowStarts = 2
 
-// ErrOverrideTimeout says that an override was not stored in time. It is in force if it is stored later. The text is in responses of the
-// admin server, and stays as it was.
+// ErrOverrideTimeout reports that an override was not stored in time. If the store completes later, the override comes into force.
+// Operators' scripts read the text in responses of the admin server, so it must not change.
 var ErrOverrideTimeout = errors.New("the folder of orders does not answer: the order is carried out only if it does")
 
-// pendingOverride is an override that operators have set in this process, and that is not stored yet.
+// pendingOverride is an override that an operator has set in this process and that is not stored yet.
 type pendingOverride struct {
-	upstream string
+	upstream string // name of the upstream
 	disabled bool
-	done     func(error) // nil once it was called
+	done     func(error) // nil once it has been called
 }
 
-// finish calls done, once.
+// finish calls done at the first call, and has no effect after that.
 func (o *pendingOverride) finish(err error) {
 	if done := o.done; done != nil {
 		o.done = nil
@@ -33,15 +33,15 @@
 	}
 }
 
-// setOverride stores an override and then applies it. Done is called after that, or with the reason why it is not in force.
-func (p *peerSync) setOverride(id string, disabled bool, done func(error)) {
-	o := &pendingOverride{upstream: id, disabled: disabled, done: done}
+// setOverride stores an override and then applies it. It calls done with nil once the override is in force, or with the error.
+func (p *peerSync) setOverride(name string, disabled bool, done func(error)) {
+	o := &pendingOverride{upstream: name, disabled: disabled, done: done}
 	p.pending = append(p.pending, o)
 	p.node.loop.After(overrideTimeout, func() { o.finish(ErrOverrideTimeout) })
 	p.publish()
 }
 
-// publishOverride stores the record with the next pending override. One that has timed out before is dropped.
+// publishOverride stores the record with the oldest pending override. It drops an override that has timed out already.
 func (p *peerSync) publishOverride() {
 	next := p.pending[0]
 	p.pending = p.pending[1:]
@@ -60,7 +60,7 @@
 	})
 }
 
-// newOverride returns an override that supersedes all known ones. Before that it forgets those that no longer matter.
+// newOverride returns an override that supersedes all known ones. It also removes expired overrides from the record.
 func (p *peerSync) newOverride(disabled bool) hotrestart.Override {
 	now := p.node.loop.Now()
 	uptime := hotrestart.Uptime()
@@ -73,8 +73,8 @@
 	}
 }
 
-// onOverrideStored applies a pending override that is stored, or rejects it. After an error the record without it is stored again, since
-// the one with it may be on the disk.
+// onOverrideStored applies a pending override after its record was stored, and rejects it after an error. After an error the record
+// without the override is stored again, since the record with it may be on the disk.
 func (p *peerSync) onOverrideStored(o *pendingOverride, stored hotrestart.Override, err error) {
 	n := p.node
 	if err != nil {
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -6,21 +6,21 @@
 	"salttrack/balance"
 )
 
-// How long the start waits for discovery before clients are served by the cached endpoint list.
+// Time that the start waits for discovery. After it, the balancer serves clients with the cached endpoint list.
 const (
-	syncTimeout              balance.Millis = 1500 // a first call to discovery that gets no answer, and a second one
-	inheritedListenerTimeout balance.Millis = 500  // with a listening socket that was inherited: clients may be queued on it
-	livePeerTimeout          balance.Millis = 3000 // with a live peer process, which serves meanwhile
+	syncTimeout              balance.Millis = 1500 // without the conditions below; enough for two requests if the first is not answered
+	inheritedListenerTimeout balance.Millis = 500  // with an inherited listening socket, on which clients may already be queued
+	livePeerTimeout          balance.Millis = 3000 // with a live peer process, which serves the clients meanwhile
 )
 
-// syncCheckInterval is the time between checks whether the start may go on.
+// syncCheckInterval is the time between two checks of whether the balancer is synced.
 const syncCheckInterval balance.Millis = 5
 
-// Ready reports whether this process accepts new requests.
+// Ready reports whether the balancer accepts new requests.
 func (n *Node) Ready() bool { return n.listening && n.synced() && !n.shuttingDown }
 
-// synced reports whether the state that requests are served by is known: the overrides that are in force, and the endpoint list, unless
-// discovery has not answered in time and there is a cached one.
+// synced reports whether the state that serving requires is known: the overrides in force, and the endpoint list. If discovery does not
+// answer in time, a cached endpoint list that is not empty suffices.
 func (n *Node) synced() bool {
 	if n.peers != nil && n.peers.blocksStart() {
 		return false
@@ -31,7 +31,7 @@
 	return n.loop.Now() > n.started+n.syncTimeout() && len(n.config.CachedEndpoints.Endpoints) > 0
 }
 
-// syncTimeout is how long the start waits for discovery.
+// syncTimeout returns the time that the start waits for discovery.
 func (n *Node) syncTimeout() balance.Millis {
 	switch {
 	case n.peers != nil && n.peers.split:
@@ -42,8 +42,9 @@
 	return syncTimeout
 }
 
-// listenWhenSynced listens for clients once the balancer is synced. The cached endpoint list may be old, while discovery counts an
-// endpoint's drain as known to this process from its start: a request must not go to an endpoint that has been drained since.
+// listenWhenSynced listens for clients once the balancer is synced. The cached endpoint list may be outdated, while the discovery
+// service assumes that a new process knows from its start which endpoints are draining. Without the wait, requests could go to
+// endpoints that are draining.
 func (n *Node) listenWhenSynced() {
 	switch {
 	case n.listening || n.shuttingDown:
@@ -54,7 +55,7 @@
 	}
 }
 
-// listenForClients listens on the inherited socket if there is one, else at the configured address.
+// listenForClients listens on the inherited socket if there is one, and otherwise at the configured address.
 func (n *Node) listenForClients() error {
 	if n.config.ListenFD >= 0 {
 		return n.server.ListenOn(n.config.ListenFD)
@@ -62,7 +63,7 @@
 	return n.server.Listen(n.config.Listen)
 }
 
-// onListening is called once clients can connect.
+// onListening records that the balancer listens for clients.
 func (n *Node) onListening() {
 	n.listening = true
 	n.log.WithFields(logrus.Fields{
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -7,9 +7,9 @@
 	"salttrack/internal/settings"
 )
 
-// ApplyReload applies a configuration that was read again, or logs the error of reading it. New settings are in force for requests that
-// arrive from now on, and discovery is followed to its new address. A configuration that can't be used changes nothing. A reload is
-// harmless with an unchanged configuration and during the shutdown.
+// ApplyReload applies a reloaded configuration, or logs the error of reading it. The new settings apply to requests that arrive from
+// now on, and the watch moves to a new address of discovery. An invalid configuration changes nothing.
+// A reload is harmless if the configuration is unchanged, and during a shutdown.
 func (n *Node) ApplyReload(next *Config, err error) {
 	var merged settings.Settings
 	if err == nil {
@@ -30,7 +30,8 @@
 	n.endpoints.SetAddress(next.Discovery)
 }
 
-// mergeSettings returns the settings that follow those in force by a new configuration, or why it can't be used.
+// mergeSettings returns the settings of a reloaded configuration, with the class numbers of the settings in force.
+// It returns an error if the configuration is invalid or lacks a key that the running one has.
 func (n *Node) mergeSettings(next *Config) (settings.Settings, error) {
 	if err := next.verifyKeys(n.reloaded); err != nil {
 		return settings.Settings{}, err
@@ -38,7 +39,7 @@
 	return next.nextSettings(n.settings, n.driver.ClassInUse)
 }
 
-// logReload logs a successful reload, and what of it only a restart applies.
+// logReload logs a successful reload, with the names of the changed values that take effect only after a restart.
 func (n *Node) logReload(next *Config) {
 	log := n.log.WithField("discovery", next.Discovery)
 	if names := n.config.restartOnlyChanges(next); len(names) > 0 {
@@ -47,7 +48,7 @@
 	log.WithField("classes", strings.Join(next.Settings.ClassNames, " ")).Info("configuration reloaded")
 }
 
-// downstreamSettings is what the clients' side needs of the settings.
+// downstreamSettings returns the settings of the downstream server.
 func downstreamSettings(s *settings.Settings) *downstream.Settings {
 	d := &downstream.Settings{
 		Classes:        map[string]uint8{},
--- a/internal/node/resources.go
+++ b/internal/node/resources.go
@@ -2,39 +2,39 @@
 
 import "salttrack/internal/bodystream"
 
-// How the descriptors and the memory of the configuration's limits are divided.
+// Division of the configured descriptors and memory between the components.
 const (
-	internalDescriptors    = 20    // of the loop, the listening sockets, discovery, the standard streams and the runtime
-	maxOverflowConnections = 32    // of clients that connect when all other descriptors are in use
-	maxAdminDescriptors    = 64    // of the admin server and its connections
-	minConnections         = 8     // to clients and upstreams, whatever the limit
-	bodyBufferShare        = 0.125 // of the memory
+	internalDescriptors    = 20    // descriptors of the loop, listening sockets, discovery, standard streams and Go runtime
+	maxOverflowConnections = 32    // client connections that are accepted when all other descriptors are in use
+	maxAdminDescriptors    = 64    // descriptors of the admin server, for its listening socket and its connections
+	minConnections         = 8     // connections to clients and upstreams that are allowed under any limit
+	bodyBufferShare        = 0.125 // share of the memory that is used for buffers of streamed bodies
 )
 
-// The overflow connections and the admin server have at most one of so many descriptors.
+// The overflow connections and the admin server each get at most the configured number of descriptors divided by one of these.
 const (
 	overflowDivisor = 16
 	adminDivisor    = 8
 )
 
-// The share of the limits that a process has, alone and beside a live peer process.
+// Shares of the configured limits that a process may use.
 const (
-	fullShare = 1.0
-	peerShare = 0.5
+	fullShare = 1.0 // without a live peer process
+	peerShare = 0.5 // with a live peer process
 )
 
-// resources is what the parts of a balancer may use.
+// resources are the limits of the components of a balancer.
 type resources struct {
-	connections         int // to clients and upstreams
-	overflowConnections int // of clients beyond that
-	adminDescriptors    int // of the admin server, 0 without one
-	bodyBuffers         int // for streamed bodies
+	connections         int // connections to clients and upstreams together
+	overflowConnections int // additional client connections, whose requests are rejected
+	adminDescriptors    int // descriptors of the admin server, 0 if there is none
+	bodyBuffers         int // buffers of streamed bodies
 }
 
-// maxAdminConnections is the number of the admin server's connections, beside its listening socket.
+// maxAdminConnections returns the maximum number of connections of the admin server. One descriptor is for its listening socket.
 func (r resources) maxAdminConnections() int { return r.adminDescriptors - 1 }
 
-// splitResources divides a share of the configured limits.
+// splitResources divides a share of the configured limits between the components.
 func (c *Config) splitResources(share float64) resources {
 	descriptors := int(share * float64(c.Limits.Sockets))
 	r := resources{
@@ -48,7 +48,7 @@
 	return r
 }
 
-// applyShare limits the parts of the balancer to a share of the configured limits.
+// applyShare limits the components of the balancer to a share of the configured limits.
 func (n *Node) applyShare(share float64) {
 	n.log.WithField("share", share).Info("share of descriptors and memory changed")
 	r := n.config.splitResources(share)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -8,11 +8,11 @@
 	"salttrack/internal/shutdown"
 )
 
-// rejectedInShutdownCounter counts the requests that the clients' side rejects because they arrive too late in a shutdown.
+// rejectedInShutdownCounter is the counter of requests that the downstream server rejects since they arrive too late in a shutdown.
 const rejectedInShutdownCounter = "client_shutdown_rejected"
 
-// Shutdown starts the shutdown that was signalled at a time. Done is called when no request is in flight any more, at the latest at the
-// end of the shutdown's schedule. Further calls have no effect.
+// Shutdown starts a graceful shutdown. The schedule counts from the time of the signal, signalledAt. Shutdown calls done when no request
+// is in flight any more, at the latest at the end of the schedule. Further calls have no effect.
 func (n *Node) Shutdown(signalledAt balance.Millis, done func()) {
 	if n.shuttingDown {
 		return
@@ -48,7 +48,7 @@
 	}).Info("shutdown started")
 }
 
-// logShutdownPhase logs that a phase of the shutdown starts.
+// logShutdownPhase logs the start of a phase of the shutdown, with the number of open client connections.
 func (n *Node) logShutdownPhase(phase shutdown.Phase, connections int) {
 	n.log.WithFields(logrus.Fields{
 		"phase":       phase.String(),
@@ -57,7 +57,7 @@
 	}).Info("shutdown phase started")
 }
 
-// logShutdownEnd logs the outcomes of the requests that were in flight at the signal or arrived after it.
+// logShutdownEnd logs how many requests ended with each outcome since the start of the shutdown.
 func (n *Node) logShutdownEnd(s shutdown.Schedule, before driver.RequestCounts) {
 	now := n.loop.Now()
 	after := n.driver.Counts()
--- a/internal/node/start_test.go
+++ b/internal/node/start_test.go
@@ -10,9 +10,8 @@
 	"salttrack/internal/epoll/epolltest"
 )
 
-// The endpoint list that a new process has from its configuration may be old, while discovery counts its list as known to the process
-// from the start. So no client is accepted before discovery has answered, as long as it may answer, and no request goes to an endpoint
-// that has begun to drain.
+// Guards against requests to draining endpoints after a start: the cached endpoint list may be outdated.
+// Client connections are refused until discovery has answered, and no request goes to an endpoint that discovery lists as draining.
 func TestListensAfterEndpointList(t *testing.T) {
 	draining := epolltest.Listen(t).Address().String()
 	r := newBalancer(t, endpoint(draining, "in_service"))
@@ -20,12 +19,12 @@
 		r.start()
 		if conn, err := net.Dial("tcp", r.listen); err == nil { // discovery has not answered yet
 			conn.Close()
-			t.Error("a client is accepted before the endpoint list")
+			t.Error("a client connection is accepted before the endpoint list is known")
 		}
 	})
 	watch, request := r.acceptWatch()
 	if since := request.URL.Query().Get("since"); since != "" {
-		t.Fatalf("the first call to discovery asks for changes since revision %s", since)
+		t.Fatalf("the first request to discovery asks for changes since revision %s, want a snapshot", since)
 	}
 	sendSnapshot(watch, endpoint(draining, "terminating"))
 	conn := r.dialWhenListening()
--- a/internal/shutdown/schedule.go
+++ b/internal/shutdown/schedule.go
@@ -1,42 +1,43 @@
-// Package shutdown is the schedule of a graceful shutdown. From the time of the signal and the longest deadline it gives the times from
-// which connections are no longer accepted and requests are rejected, and by which responses are written and the process exits. It does
-// no I/O and reads no clock: whoever has to meet a time in a shutdown gets it here.
+// Package shutdown computes the schedule of a graceful shutdown from the time of the signal and the longest deadline. The schedule has the
+// times at which the process stops accepting connections, rejects new requests, has written all responses, and exits.
+// The package does no I/O and reads no clock.
 package shutdown
 
 import "salttrack/balance"
 
-// The platform sends SIGKILL at the earliest so long after SIGTERM: the longest deadline, counted up to a maximum, and a grace period.
+// Terms of the time between SIGTERM and the earliest SIGKILL of the platform, in ms. That time is the longest deadline, but at most
+// maxCountedDeadline, plus killGracePeriod.
 const (
 	maxCountedDeadline balance.Millis = 3000
 	killGracePeriod    balance.Millis = 700
 )
 
-// What is kept free before SIGKILL.
+// Safety margins before SIGKILL, in ms.
 const (
-	// maxStall is how long the process may get no CPU between reading its clock and acting on it. That may happen twice: as the
-	// signal arrives, which is then timed late, and as the last response is written.
+	// maxStall is the longest time that the process may get no CPU between reading its clock and acting on the result. Two stalls
+	// are possible: one when the signal arrives, whose recorded time is late then, and one when the last response is written.
 	maxStall balance.Millis = 150
-	// writeAllowance is for writing the last bytes and for the exit of the process.
+	// writeAllowance is the time for writing the last bytes and for the exit of the process.
 	writeAllowance balance.Millis = 50
 )
 
-// When the phases start, after the signal, if the time until SIGKILL allows.
+// Preferred durations within the schedule, in ms. They are shortened if SIGKILL may come earlier.
 const (
-	closeIdleDelay balance.Millis = 500 // clients may still pick a connection that they have to this process
-	acceptDuration balance.Millis = 650 // clients open connections for 400 ms; the rest is for what the kernel has queued
-	minServiceTime balance.Millis = 50  // a request with less than that until the last response is rejected
+	closeIdleDelay balance.Millis = 500 // from the signal until idle connections are closed, since clients may still reuse them
+	acceptDuration balance.Millis = 650 // from the signal; clients connect for 400 ms, and the rest is for connections in the kernel's queue
+	minServiceTime balance.Millis = 50  // minimum time until the last response; a request with less time is rejected
 )
 
-// Phase is a part of the shutdown.
+// Phase is a phase of the shutdown.
 type Phase uint8
 
-// The phases, in sequence.
+// Phases of the shutdown, in sequence.
 const (
 	Accepting Phase = iota // connections are accepted and requests are served
-	Serving                // no connections are accepted; requests on open ones are served
-	Rejecting              // new requests are rejected at once; those in flight are served
-	Closing                // every request has its response; connections that clients have not closed remain
-	Ended                  // the process exits, whatever remains
+	Serving                // no connections are accepted; requests on open connections are served
+	Rejecting              // new requests are rejected at once; requests in flight are served
+	Closing                // every request has its response; the process waits for clients to close their connections
+	Ended                  // the process exits, even if connections are open
 )
 
 var phaseNames = [...]string{
@@ -47,24 +48,24 @@
 	Ended:     "ended",
 }
 
-// String returns the name of the phase, as the log has it.
+// String returns the name of the phase in the log.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Schedule is the times of one shutdown, by the clock that timed the signal. The zero Schedule is that of no shutdown.
+// Schedule has the times of one shutdown, in ms of the clock that recorded the signal. The zero Schedule means that there is no shutdown.
 type Schedule struct {
-	SignalledAt  balance.Millis // when the signal arrived
-	CloseIdle    balance.Millis // connections without a request are closed from here on
-	StopAccept   balance.Millis // connections are accepted up to here
-	RejectFrom   balance.Millis // requests whose last byte arrives from here on are rejected
-	RespondBy    balance.Millis // the last time to decide on and write a response
-	ExitBy       balance.Millis // the last time to decide to exit
-	EarliestKill balance.Millis // the platform may send SIGKILL from here on, unless the signal was timed late
+	SignalledAt  balance.Millis // recorded time of the signal
+	CloseIdle    balance.Millis // from this time on, connections without a request are closed
+	StopAccept   balance.Millis // from this time on, no connections are accepted
+	RejectFrom   balance.Millis // requests whose last byte arrives at this time or later are rejected
+	RespondBy    balance.Millis // latest time at which the writing of a response may start
+	ExitBy       balance.Millis // latest time at which the process starts to exit
+	EarliestKill balance.Millis // earliest SIGKILL of the platform if SignalledAt is exact; it is earlier if the signal was recorded late
 
 	longestDeadline balance.Millis
 	started         bool
 }
 
-// New returns the schedule of a shutdown that was signalled at a time, with the longest deadline of any request.
+// New returns the schedule of a shutdown. The parameter longestDeadline is the longest deadline of any request, in ms from its arrival.
 func New(signalledAt, longestDeadline balance.Millis) Schedule {
 	s := Schedule{
 		SignalledAt:     signalledAt,
@@ -80,16 +81,16 @@
 	return s
 }
 
-// Started reports whether there is a shutdown.
+// Started reports whether a shutdown has started.
 func (s Schedule) Started() bool { return s.started }
 
-// Shortened returns the schedule after a reload during the shutdown. The platform may count the longest deadline of the old or of the
-// new settings, so the shorter one is in force.
+// Shortened returns the schedule after a reload that changes the longest deadline. The platform may compute the time of SIGKILL from the
+// old or the new settings, so the shorter deadline applies.
 func (s Schedule) Shortened(longestDeadline balance.Millis) Schedule {
 	return New(s.SignalledAt, min(s.longestDeadline, longestDeadline))
 }
 
-// PhaseAt returns the phase at a time.
+// PhaseAt returns the phase of the shutdown at a time.
 func (s Schedule) PhaseAt(now balance.Millis) Phase {
 	switch {
 	case now < s.StopAccept:
@@ -104,15 +105,15 @@
 	return Ended
 }
 
-// RejectsAt reports whether a request that is complete at a time is rejected, since its response could come too late.
+// RejectsAt reports whether a request whose last byte arrives at a time is rejected, since its response could come after SIGKILL.
 func (s Schedule) RejectsAt(now balance.Millis) bool {
 	return s.Started() && s.PhaseAt(now) >= Rejecting
 }
 
-// LimitDeadline returns the time by which a request has to have its response: its own, or the earlier one of the shutdown.
-func (s Schedule) LimitDeadline(at balance.Millis) balance.Millis {
+// LimitDeadline returns the deadline of a request during the shutdown: the earlier one of its own deadline and RespondBy.
+func (s Schedule) LimitDeadline(deadline balance.Millis) balance.Millis {
 	if !s.Started() {
-		return at
+		return deadline
 	}
-	return min(at, s.RespondBy)
+	return min(deadline, s.RespondBy)
 }
--- a/internal/shutdown/schedule_test.go
+++ b/internal/shutdown/schedule_test.go
@@ -8,46 +8,48 @@
 	"salttrack/balance"
 )
 
-// scenario is what a schedule has to cope with: the longest deadline, when the signal was sent, and how much later it is timed.
+// scenario is a random shutdown. All values are in ms.
 type scenario struct {
-	longestDeadline, sentAt, timedLate balance.Millis
+	longestDeadline balance.Millis
+	sentAt          balance.Millis // time at which the platform sent the signal
+	recordDelay     balance.Millis // time from there until the process recorded the signal
 }
 
 func drawScenario(t *rapid.T) scenario {
 	return scenario{
 		longestDeadline: rapid.Float64Range(1, 6000).Draw(t, "longest deadline"),
 		sentAt:          rapid.Float64Range(0, 2e12).Draw(t, "signal sent at"),
-		timedLate:       rapid.Float64Range(0, 150).Draw(t, "signal timed late by"),
+		recordDelay:     rapid.Float64Range(0, 150).Draw(t, "signal recorded late by"),
 	}
 }
 
-// schedule is the schedule that follows.
-func (s scenario) schedule() Schedule { return New(s.sentAt+s.timedLate, s.longestDeadline) }
+// schedule returns the schedule of the scenario.
+func (s scenario) schedule() Schedule { return New(s.sentAt+s.recordDelay, s.longestDeadline) }
 
-// killAt is the earliest time of SIGKILL by the protocol: the longest deadline, 3 s at most, and 0.7 s.
+// killAt returns the earliest time of SIGKILL: the longest deadline, but at most 3 s, plus 0.7 s after the signal was sent.
 func (s scenario) killAt(longestDeadline balance.Millis) balance.Millis {
 	return s.sentAt + min(3000, longestDeadline) + 700
 }
 
-// The times are in sequence, and the process has exited before SIGKILL though it stalls twice for 150 ms: when the signal arrives, and
-// between reading the clock for the last time and acting on it.
-func TestEndsBeforeKill(t *testing.T) {
+// The times of the schedule are in sequence, and the process exits before SIGKILL even if it stalls twice for 150 ms: when the signal
+// arrives, and between the last reading of the clock and the exit.
+func TestExitsBeforeKill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scenario := drawScenario(t)
 		s := scenario.schedule()
 		times := []balance.Millis{s.SignalledAt, s.CloseIdle, s.StopAccept, s.RejectFrom, s.RespondBy, s.ExitBy, s.EarliestKill}
 		for i := 1; i < len(times); i++ {
 			if times[i] < times[i-1] {
-				t.Fatalf("time %d is before its predecessor: %v", i, times)
+				t.Fatalf("time %d is before time %d: %v", i, i-1, times)
 			}
 		}
-		if end, kill := s.ExitBy+150, scenario.killAt(scenario.longestDeadline); end >= kill {
-			t.Fatalf("ends at %v, killed from %v", end, kill)
+		if exit, kill := s.ExitBy+150, scenario.killAt(scenario.longestDeadline); exit >= kill {
+			t.Fatalf("the process exits at %v, but SIGKILL may come at %v", exit, kill)
 		}
 	})
 }
 
-// Whenever a request arrives, and whatever is reloaded: it is rejected, or its response is written before SIGKILL.
+// A request at any time of a shutdown is rejected, or its response is written before SIGKILL. This also holds after reloads.
 func TestRespondsBeforeKill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scenario := drawScenario(t)
@@ -60,17 +62,17 @@
 		remaining := rapid.Float64Range(0, 10000).Draw(t, "time that the client waits")
 		if s.RejectsAt(completeAt) {
 			if s.PhaseAt(completeAt) < Rejecting {
-				t.Fatalf("rejected in phase %v", s.PhaseAt(completeAt))
+				t.Fatalf("a request is rejected in phase %v", s.PhaseAt(completeAt))
 			}
 			return
 		}
 		stall := rapid.Float64Range(0, 150).Draw(t, "stall before the response is written")
 		deadline := s.LimitDeadline(completeAt + remaining)
 		if deadline < completeAt && remaining > 0 {
-			t.Fatalf("accepted at %v with deadline %v", completeAt, deadline)
+			t.Fatalf("a request of %v gets the earlier deadline %v", completeAt, deadline)
 		}
 		if writtenAt := deadline + stall; writtenAt >= scenario.killAt(longest) {
-			t.Fatalf("response at %v, killed from %v", writtenAt, scenario.killAt(longest))
+			t.Fatalf("a response is written at %v, but SIGKILL may come at %v", writtenAt, scenario.killAt(longest))
 		}
 	})
 }
@@ -83,9 +85,9 @@
 	}
 }
 
-// The times for usual deadlines, in ms after the signal: clients open connections for 400 ms.
+// Checks the times of the schedule for common values of the longest deadline, in ms after the signal.
 func TestTimes(t *testing.T) {
-	for _, tt := range []struct{ longestDeadline, stopAccept, rejectFrom, respondBy, endBy, earliestKill balance.Millis }{
+	for _, tt := range []struct{ longestDeadline, stopAccept, rejectFrom, respondBy, exitBy, earliestKill balance.Millis }{
 		{1, 251, 251, 301, 351, 701},
 		{200, 450, 450, 500, 550, 900},
 		{755, 650, 1005, 1055, 1105, 1455},
@@ -95,8 +97,8 @@
 	} {
 		s := New(0, tt.longestDeadline)
 		got := [...]balance.Millis{s.StopAccept, s.RejectFrom, s.RespondBy, s.ExitBy, s.EarliestKill}
-		if want := [...]balance.Millis{tt.stopAccept, tt.rejectFrom, tt.respondBy, tt.endBy, tt.earliestKill}; got != want {
-			t.Errorf("longest deadline %v: %v, want %v", tt.longestDeadline, got, want)
+		if want := [...]balance.Millis{tt.stopAccept, tt.rejectFrom, tt.respondBy, tt.exitBy, tt.earliestKill}; got != want {
+			t.Errorf("longest deadline %v: times %v, want %v", tt.longestDeadline, got, want)
 		}
 	}
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,7 +1,6 @@
-// Package trace writes one structured log line for each step of a request and of a connection: accepted, attempt
-// sent, attempt ended, response sent, connection closed, with the reason where there is one. Tracing is disabled at
-// the start and can be switched at run time. Its rate is limited; suppressed lines are counted. All methods are
-// called on the event loop.
+// Package trace writes one structured log line for each event of a request or a connection, for example an attempt
+// that was sent or a connection that was closed. Tracing is disabled at the start and can be enabled at run time. The
+// rate of lines is limited, and suppressed lines are counted. All methods have to be called on the event loop.
 package trace
 
 import (
@@ -11,28 +10,28 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Rate limit of the log lines: a token bucket.
+// Parameters of the token bucket that limits the rate of log lines.
 const (
 	linesPerSecond = 2000.0
 	maxBurstLines  = 4000.0
 )
 
-// EventKind is what a line is about. It is the message of the line.
+// EventKind is the kind of an event, and the message of its log line.
 type EventKind string
 
-// The kinds of events.
+// Kinds of events.
 const (
-	ConnectionAccepted EventKind = "connection accepted" // from a client
-	ConnectionClosed   EventKind = "connection closed"   // to a client or to an upstream
+	ConnectionAccepted EventKind = "connection accepted" // a connection from a client was accepted
+	ConnectionClosed   EventKind = "connection closed"   // a connection to a client or an upstream was closed
 	UpstreamConnected  EventKind = "upstream connected"
-	RequestAccepted    EventKind = "request accepted" // handed to the balancing decisions
-	RequestRejected    EventKind = "request rejected" // before it reached them
+	RequestAccepted    EventKind = "request accepted" // a request was passed to the balancing decisions
+	RequestRejected    EventKind = "request rejected" // a request was rejected before it reached the balancing decisions
 	AttemptSent        EventKind = "attempt sent"
 	AttemptEnded       EventKind = "attempt ended"
-	ResponseSent       EventKind = "response sent" // the final one, or the client disconnected before it
+	ResponseSent       EventKind = "response sent" // the final response was sent, or the client disconnected before that
 )
 
-// Names of the fields of a line.
+// Names of the fields of a log line.
 const (
 	requestField     = "request"
 	classField       = "class"
@@ -47,21 +46,21 @@
 	suppressedField  = "suppressed"
 )
 
-// Reason is why a connection was closed, a request was rejected or has failed.
+// Reason is the reason why a connection was closed, or why a request was rejected or failed.
 type Reason string
 
-// Event is the content of one line. Fields with the zero value are left out.
+// Event has the fields of one log line. Fields with the zero value are omitted.
 type Event struct {
-	Request     string // id given by the client
-	Class       string
+	Request     string // request id that the client has set
+	Class       string // name of the request class
 	Upstream    balance.UpstreamID
-	Attempt     int // number of the attempt, from 1
-	Connection  int // file descriptor
-	Status      int // HTTP status of a rejection
-	Outcome     string
+	Attempt     int    // number of the attempt of the request, counted from 1
+	Connection  int    // file descriptor of the connection
+	Status      int    // HTTP status of a rejected request
+	Outcome     string // outcome of the attempt or the request
 	Reason      Reason
-	RemainingMS float64 // until the deadline of the response
-	ElapsedMS   float64 // since the attempt was sent
+	RemainingMS float64 // time until the deadline of the response, in ms
+	ElapsedMS   float64 // time since the attempt was sent, in ms
 }
 
 // Tracer writes events to a log. A nil Tracer is disabled.
@@ -69,11 +68,11 @@
 	log        *logrus.Entry
 	now        func() balance.Millis
 	enabled    bool
-	tokens     float64        // lines that may be written at lastRefill
-	lastRefill balance.Millis // when tokens were added
+	tokens     float64        // number of lines that the token bucket allowed at lastRefill
+	lastRefill balance.Millis // time at which tokens were last added
 	suppressed *counter.Counter
 
-	// UpstreamName returns the name of an upstream, as the endpoint list has it.
+	// UpstreamName returns the name of an upstream in the endpoint list.
 	UpstreamName func(balance.UpstreamID) string
 }
 
@@ -89,7 +88,7 @@
 	}
 }
 
-// SetEnabled switches tracing, and logs the change.
+// SetEnabled enables or disables tracing, and logs the change.
 func (t *Tracer) SetEnabled(enabled bool) { //revive:disable-line:flag-parameter it is the value that is set
 	if t.enabled == enabled {
 		return
@@ -102,7 +101,7 @@
 	t.log.WithField(suppressedField, t.suppressed.Value()).Info(message)
 }
 
-// Enabled reports whether events are written. Callers ask before they build an Event, so that a disabled trace
+// Enabled reports whether events are written. Callers check it before they build an Event, so that a disabled trace
 // costs nothing.
 func (t *Tracer) Enabled() bool { return t != nil && t.enabled }
 
@@ -114,7 +113,7 @@
 	t.log.WithFields(t.fields(event)).Info(string(kind))
 }
 
-// allow takes a token for one line. It reports false, and counts the line as suppressed, if there is none.
+// allow takes a token for one line. If there is none, it counts the line as suppressed and returns false.
 func (t *Tracer) allow() bool {
 	now := t.now()
 	t.tokens = min(maxBurstLines, t.tokens+(now-t.lastRefill)*linesPerSecond/1000)
@@ -127,7 +126,7 @@
 	return true
 }
 
-// fields returns the fields of a line, without those that have the zero value.
+// fields returns the fields of an event that do not have the zero value.
 func (t *Tracer) fields(event Event) logrus.Fields {
 	fields := logrus.Fields{}
 	for _, text := range [...]struct{ name, value string }{
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -12,7 +12,7 @@
 	"salttrack/internal/counter"
 )
 
-// fixture is a tracer whose clock the test sets and whose output the test reads.
+// fixture is a tracer with a clock that the test sets and an output that the test reads.
 type fixture struct {
 	output   bytes.Buffer
 	now      balance.Millis
@@ -31,17 +31,17 @@
 	return f
 }
 
-// enable enables the trace and discards the line that says so.
+// enable enables the trace, and discards the log line of that change.
 func (f *fixture) enable() {
 	f.tracer.SetEnabled(true)
 	f.output.Reset()
 }
 
-// A line holds the fields that are set and no others. A disabled or nil tracer writes nothing.
+// A line has exactly the fields that are set. A disabled or nil tracer writes nothing.
 func TestWrite(t *testing.T) {
 	f := newFixture(t)
 	(*Tracer)(nil).Write(AttemptSent, Event{})
-	f.tracer.Write(AttemptSent, Event{Request: "no"})
+	f.tracer.Write(AttemptSent, Event{Request: "not written"})
 	if f.output.Len() > 0 {
 		t.Errorf("disabled tracer wrote %s", f.output.String())
 	}
