--- a/cmd/salttrack/helpers_program_test.go
+++ b/cmd/salttrack/helpers_program_test.go
@@ -18,16 +18,16 @@
 	"time"
 )
 
-// program is a running balancer.
+// program is the balancer program, running as a child process of the test.
 type program struct {
 	t       *testing.T
 	cmd     *exec.Cmd
-	address string
-	log     *lockedBuffer
-	exited  chan error
+	address string        // address for clients
+	log     *lockedBuffer // output of the program on standard error
+	exited  chan error    // receives the result of the process when it exits
 }
 
-// lockedBuffer is a buffer that is written and read by different goroutines.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -45,15 +45,15 @@
 	return l.buffer.String()
 }
 
-// startOption changes the command of a program before its start.
+// startOption changes the command of a program before the program is started.
 type startOption func(*exec.Cmd)
 
-// withVariable adds a variable to the environment.
+// withVariable adds a variable, as NAME=VALUE, to the environment of a program.
 func withVariable(variable string) startOption {
 	return func(c *exec.Cmd) { c.Env = append(c.Env, variable) }
 }
 
-// start starts the program by the configuration at a path, and waits until it is ready.
+// start starts the program with the configuration file at a path, and waits until it is ready.
 func start(t *testing.T, path string, options ...startOption) *program {
 	t.Helper()
 	p := launch(t, path, options...)
@@ -61,7 +61,7 @@
 	return p
 }
 
-// launch starts the program by the configuration at a path.
+// launch starts the program with the configuration file at a path. The program is killed at the end of the test.
 func launch(t *testing.T, path string, options ...startOption) *program {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -86,7 +86,7 @@
 	return p
 }
 
-// readyStatus returns the status of GET /-/ready, 0 without a response.
+// readyStatus returns the status of the response to GET /-/ready, or 0 if there is no response.
 func (p *program) readyStatus() int {
 	response, err := http.Get("http://" + p.address + "/-/ready")
 	if err != nil {
@@ -96,33 +96,33 @@
 	return response.StatusCode
 }
 
-// waitUntilReady waits until the program says that it is ready.
+// waitUntilReady waits until GET /-/ready gets the status 200.
 func (p *program) waitUntilReady() {
 	p.t.Helper()
-	p.waitFor("ready", func() bool { return p.readyStatus() == 200 })
+	p.waitFor("status 200 of GET /-/ready", func() bool { return p.readyStatus() == 200 })
 }
 
-// waitFor waits for a condition to hold.
-func (p *program) waitFor(what string, holds func() bool) {
+// waitFor waits until a condition is true. The event describes the condition in the error of a timeout.
+func (p *program) waitFor(event string, isTrue func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(patience); !isTrue(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("%s: not within %v; log:\n%s", what, patience, p.log)
+			p.t.Fatalf("timed out after %v waiting for %s; log:\n%s", patience, event, p.log)
 		}
 	}
 }
 
-// boundedClient gives up on a program that does not respond at all.
+// boundedClient is an HTTP client with a timeout, for programs that do not respond.
 var boundedClient = &http.Client{Timeout: patience}
 
 // request is a request of a client.
 type request struct {
 	class, path, id string
-	remaining       string    // seconds that the client waits
-	body            io.Reader // nil: a GET without one
+	remaining       string    // time that the client waits for the response, in seconds
+	body            io.Reader // body of a POST; the method is GET if it is nil
 }
 
-// send sends a request and returns its response.
+// send sends a request and returns the response.
 func (p *program) send(r request) (*http.Response, error) {
 	method := "GET"
 	if r.body != nil {
@@ -136,7 +136,8 @@
 	return boundedClient.Do(q)
 }
 
-// do sends a request of a class and returns the status and the body of its response.
+// do sends a request of a class, and returns the status and the body of the response.
+// It returns the status 0 if there is no response, which is an error of the test.
 func (p *program) do(class, id string) (int, string) {
 	p.t.Helper()
 	r := request{class: class, path: "x", id: id, remaining: "4.0"}
@@ -153,7 +154,7 @@
 	return response.StatusCode, string(body)
 }
 
-// expectStatus sends a request of a class and checks the status of its response.
+// expectStatus sends a request of a class and checks the status of the response.
 func (p *program) expectStatus(class, id string, want int) {
 	p.t.Helper()
 	if status, _ := p.do(class, id); status != want {
@@ -161,7 +162,7 @@
 	}
 }
 
-// requestsToFirst sends requests, which have to be served, and returns how many of them went to the first upstream.
+// requestsToFirst sends 20 requests, which have to be served, and returns how many of them the first upstream received.
 func (p *program) requestsToFirst(e *environment, id string) int64 {
 	p.t.Helper()
 	before := e.upstreams[0].requests.Load()
@@ -173,7 +174,7 @@
 
 var counterList = regexp.MustCompile(`counters="([^"]*)"`)
 
-// counters returns the counters that the program has logged last, nil for none.
+// counters returns the counters of the last log line that has them, or nil if there is none.
 func (p *program) counters() map[string]int {
 	p.t.Helper()
 	lists := counterList.FindAllStringSubmatch(p.log.String(), -1)
@@ -192,7 +193,7 @@
 	return counters
 }
 
-// latestCounters returns a lookup in the counters that the program has logged last. A name that is not among them is an error.
+// latestCounters returns a function that looks up a counter in the last log line with counters. An unknown name is an error of the test.
 func (p *program) latestCounters() func(name string) int {
 	p.t.Helper()
 	counters := p.counters()
@@ -206,41 +207,41 @@
 	}
 }
 
-// requestCounters makes the program log its counters, and waits for the first of them.
+// requestCounters makes the program log its counters, and waits until the log has a line with counters.
 func (p *program) requestCounters() {
 	p.t.Helper()
 	p.cmd.Process.Signal(syscall.SIGUSR1)
-	p.waitFor("counters", func() bool { return p.counters() != nil })
+	p.waitFor("a log line with counters", func() bool { return p.counters() != nil })
 }
 
-// waitForExit waits until the program has exited, with status 0.
+// waitForExit waits until the program has exited, and checks that its exit status is 0.
 func (p *program) waitForExit() {
 	p.t.Helper()
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			p.t.Errorf("exited with %v; log:\n%s", err, p.log)
+			p.t.Errorf("the program exited with %v; log:\n%s", err, p.log)
 		}
 	case <-time.After(patience):
-		p.t.Fatalf("did not exit; log:\n%s", p.log)
+		p.t.Fatalf("the program did not exit within %v; log:\n%s", patience, p.log)
 	}
 }
 
-// terminate shuts the program down, and waits until it has exited.
+// terminate sends SIGTERM to the program, and waits until it has exited with status 0.
 func (p *program) terminate() {
 	p.t.Helper()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.waitForExit()
 }
 
-// servesAndTerminates checks that a balancer serves, and shuts down gracefully.
-func (p *program) servesAndTerminates(id string) {
+// expectServesAndTerminates checks that the program serves a request and shuts down gracefully.
+func (p *program) expectServesAndTerminates(id string) {
 	p.t.Helper()
 	p.expectStatus("read", id, 200)
 	p.terminate()
 }
 
-// dial connects to the program, and closes the connection at the end of the test.
+// dial connects to the program as a client. The connection is closed at the end of the test.
 func (p *program) dial() net.Conn {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.address)
@@ -251,10 +252,10 @@
 	return conn
 }
 
-// adminClient gives up on an admin server that does not respond.
+// adminClient is an HTTP client with a timeout, for admin servers that do not respond.
 var adminClient = http.Client{Timeout: 3 * time.Second}
 
-// withAdmin returns a change of a configuration that adds an admin server, and the server's address.
+// withAdmin returns a function that adds an admin server to a configuration, and the address of that server.
 func withAdmin(t *testing.T) (change func(config map[string]any), address string) {
 	t.Helper()
 	l := listen(t)
@@ -263,7 +264,8 @@
 	return func(config map[string]any) { config["admin"] = address }, address
 }
 
-// adminCall makes a call at an admin server, with POST unless it asks for readiness, and returns the status, 0 without a response.
+// adminCall sends a request to an admin server, and returns the status of the response, or 0 if there is no response. The method is GET
+// for the path "ready" and POST for any other.
 func adminCall(address, path string) int {
 	method := "POST"
 	if path == "ready" {
@@ -278,7 +280,7 @@
 	return response.StatusCode
 }
 
-// listenerFile returns a listening socket, for programs to inherit, and its address.
+// listenerFile returns a listening socket that programs can inherit, and its address.
 func listenerFile(t *testing.T) (*os.File, string) {
 	t.Helper()
 	l := listen(t).(*net.TCPListener)
@@ -291,7 +293,7 @@
 	return f, l.Addr().String()
 }
 
-// inheriting lets a program inherit a listening socket and share its records in a directory.
+// inheriting makes a program inherit a listening socket, and use a directory for its hot restart records.
 func inheriting(listener *os.File, directory string) startOption {
 	return func(c *exec.Cmd) {
 		c.ExtraFiles = []*os.File{listener}
--- a/cmd/salttrack/helpers_test.go
+++ b/cmd/salttrack/helpers_test.go
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// patience bounds every wait of a test.
+// patience is the timeout of each wait in a test.
 const patience = 20 * time.Second
 
-// programVariable makes the test binary run the program in place of the tests.
+// programVariable is the environment variable that makes the test binary run the program instead of the tests.
 const programVariable = "SALTTRACK_TEST_AS_PROGRAM"
 
-// fastRaceExit lets a program with the race detector exit at once, not a second later.
+// fastRaceExit makes a program with the race detector exit without the default delay of 1 s.
 const fastRaceExit = "GORACE=atexit_sleep_ms=0"
 
 func TestMain(m *testing.M) {
@@ -32,17 +32,17 @@
 	os.Exit(m.Run())
 }
 
-// environment is what a balancer runs in: discovery, and upstreams that each respond by a handler.
+// environment has the servers that a balancer needs: the discovery service and upstreams.
 type environment struct {
 	t           *testing.T
 	discovery   net.Listener
 	upstreams   []*fakeUpstream
 	mu          sync.Mutex
-	updates     []string // of the endpoint list, as lines, each sent on every watch
-	generations int      // of watches: those of an earlier one are broken
+	updates     []string // updates of the endpoint list, one JSON line each, which are sent on every watch
+	generations int      // number of calls of breakWatches; a watch is broken when the number changes
 }
 
-// fakeUpstream is an upstream.
+// fakeUpstream is an HTTP server that counts its requests.
 type fakeUpstream struct {
 	id       string
 	listener net.Listener
@@ -50,7 +50,8 @@
 	requests atomic.Int64
 }
 
-// newEnvironment starts discovery and an upstream for each handler, s-0, s-1 and so on, all on the endpoint list.
+// newEnvironment starts the discovery service and one upstream for each handler. The upstreams are named s-0, s-1 and so on, and are
+// in service on the endpoint list.
 func newEnvironment(t *testing.T, handlers ...http.HandlerFunc) *environment {
 	t.Helper()
 	e := &environment{t: t, discovery: listen(t)}
@@ -66,7 +67,7 @@
 	return e
 }
 
-// startUpstream starts the next upstream.
+// startUpstream starts an upstream with the next number in its name.
 func (e *environment) startUpstream(handler http.HandlerFunc) {
 	u := &fakeUpstream{id: fmt.Sprintf("s-%d", len(e.upstreams)), listener: listen(e.t)}
 	u.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -87,11 +88,11 @@
 	return l
 }
 
-// addressesUsed counts the loopback addresses that programs listen on.
+// addressesUsed counts the loopback addresses that were given to programs.
 var addressesUsed atomic.Int32
 
-// freeAddress returns an address for a program to listen on. Each has a loopback address of its own: on the one that tests listen on, another
-// test may take a free port before the program does.
+// freeAddress returns an address for a program to listen on. Each call uses another loopback IP address. With a shared IP address,
+// another test could take the free port before the program listens on it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	n := addressesUsed.Add(1)
@@ -103,35 +104,35 @@
 	return l.Addr().String()
 }
 
-// endpoint is an upstream as the endpoint list has it.
+// endpoint returns the JSON object of an upstream in the endpoint list.
 func (e *environment) endpoint(i int, phase string) string {
 	u := e.upstreams[i]
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"here","cell":0,"phase":%q,"up_since_ms":0}`, u.id, u.listener.Addr(), phase)
 }
 
-// sendUpdate sends a line on every watch.
+// sendUpdate sends a line with an endpoint update on every watch.
 func (e *environment) sendUpdate(line string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.updates = append(e.updates, line)
 }
 
-// breakWatches breaks the connections of all watches.
+// breakWatches aborts the connections of all watches.
 func (e *environment) breakWatches() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.generations++
 }
 
-// updatesFrom returns the updates from a number on, and the generation of watches.
+// updatesFrom returns the updates without the first n, and the current generation of watches.
 func (e *environment) updatesFrom(n int) ([]string, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.updates[n:], e.generations
 }
 
-// serveWatch is discovery's response to a watch: all updates as they come, and an empty line at least every 2 s, without which the watch
-// counts as silent.
+// serveWatch is the handler of the discovery service for a watch. It sends all updates, and an empty line about every second.
+// The balancer requires a line at least every 2 s, otherwise it treats the watch as failed.
 func (e *environment) serveWatch(w http.ResponseWriter, r *http.Request) {
 	_, generation := e.updatesFrom(0)
 	lastEmptyLine := time.Now()
@@ -159,7 +160,7 @@
  "classes":[{"name":"read","on_time_ms":2000,"deadline_ms":5000,"worth":12,"idempotency":"retryable"},
  {"name":"pay","on_time_ms":2000,"deadline_ms":5000,"worth":1,"idempotency":"fragile"}]}`
 
-// config writes a configuration, which a change is applied to if there is one, and returns its path.
+// config writes a configuration file and returns its path. The function change modifies the configuration; nil changes nothing.
 func (e *environment) config(change func(config map[string]any)) string {
 	e.t.Helper()
 	config := map[string]any{}
@@ -185,12 +186,12 @@
 // settingsOf returns the settings of a configuration.
 func settingsOf(config map[string]any) map[string]any { return config["settings"].(map[string]any) }
 
-// classOf returns a class of a configuration's settings.
+// classOf returns the class with an index in the settings.
 func classOf(settings map[string]any, i int) map[string]any {
 	return settings["classes"].([]any)[i].(map[string]any)
 }
 
-// echo responds with the method, the id and the body of a request.
+// echo is an upstream's handler that responds with the method, the id and the body of the request.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	fmt.Fprintf(w, "%s %s %s", r.Method, r.Header.Get("X-Txn"), body)
--- a/cmd/salttrack/hot_restart_test.go
+++ b/cmd/salttrack/hot_restart_test.go
@@ -13,27 +13,27 @@
 	"time"
 )
 
-// hotRestartTest is a balancer whose processes replace each other.
+// hotRestartTest is a test in which the processes of one balancer replace each other.
 type hotRestartTest struct {
 	t           *testing.T
 	environment *environment
-	listener    *os.File // inherited by all processes
-	address     string
-	directory   string // of their records
+	listener    *os.File // listening socket that all processes inherit
+	address     string   // address of the listening socket
+	directory   string   // parent directory of the hot restart records
 
-	stop           chan struct{} // ends the load
-	clients        sync.WaitGroup
-	sent, unserved atomic.Int64
+	stop             chan struct{} // closed to stop the clients
+	clients          sync.WaitGroup
+	sent, unanswered atomic.Int64 // numbers of requests that were sent, and that got no response
 }
 
 // process is one process of the balancer.
 type process struct {
 	*program
-	admin string // the address of its admin server
+	admin string // address of the admin server
 }
 
-// startProcess starts the next process, and waits until it is ready. Then hundreds of clients hold half a request each, at its admin
-// server and at its own address.
+// startProcess starts the next process, and waits until it is ready. Then it opens 200 connections to its admin server and 40 to its
+// address for clients, and sends an incomplete request on each.
 func (h *hotRestartTest) startProcess() *process {
 	h.t.Helper()
 	addAdmin, admin := withAdmin(h.t)
@@ -44,20 +44,20 @@
 		settingsOf(config)["invariants"].(map[string]any)["cold_ms"] = 200
 	})
 	p := &process{program: start(h.t, path, inheriting(h.listener, h.directory)), admin: admin}
-	p.waitFor("readiness at the admin server", func() bool { return adminCall(admin, "ready") == 200 })
+	p.waitFor("status 200 of the admin server", func() bool { return adminCall(admin, "ready") == 200 })
 	for i := range 240 {
 		conn, err := net.Dial("tcp", []string{admin, p.address}[i/200])
 		if err != nil {
 			h.t.Fatal(err)
 		}
 		h.t.Cleanup(func() { conn.Close() })
-		fmt.Fprint(conn, "GET /half")
+		fmt.Fprint(conn, "GET /incomplete")
 	}
 	return p
 }
 
-// startLoad starts clients that send requests one after the other, on connections that they keep, until the load is stopped. A request
-// that meets the close of a connection is sent again, once.
+// startLoad starts clients that send requests one after the other on persistent connections, until stopLoad is called.
+// If the balancer closes a connection while a request is being sent, the HTTP client retries the request.
 func (h *hotRestartTest) startLoad(p *process) {
 	for i := range 8 {
 		h.clients.Go(func() {
@@ -67,25 +67,26 @@
 					return
 				case <-time.After(time.Millisecond):
 				}
-				if status, _ := p.do("read", fmt.Sprint("kept", i, "-", h.sent.Add(1))); status != 200 && status != 503 {
-					h.unserved.Add(1)
+				if status, _ := p.do("read", fmt.Sprint("load", i, "-", h.sent.Add(1))); status != 200 && status != 503 {
+					h.unanswered.Add(1)
 				}
 			}
 		})
 	}
 }
 
-// stopLoad stops the clients, and checks that each request had a response.
+// stopLoad stops the clients, and checks that each request got a response.
 func (h *hotRestartTest) stopLoad() {
 	h.t.Helper()
 	close(h.stop)
 	h.clients.Wait()
-	if h.unserved.Load() != 0 || h.sent.Load() < 100 {
-		h.t.Errorf("%d of %d requests had no response", h.unserved.Load(), h.sent.Load())
+	if h.unanswered.Load() != 0 || h.sent.Load() < 100 {
+		h.t.Errorf("%d of %d requests got no response, want 0 of at least 100", h.unanswered.Load(), h.sent.Load())
 	}
 }
 
-// replace replaces a process by the next one. An override that is set in either is in force in the other.
+// replace replaces a process by the next one, and returns that. It checks that an override which is set in either of them comes into force
+// in the other.
 func (h *hotRestartTest) replace(old *process) *process {
 	h.t.Helper()
 	next := h.startProcess()
@@ -97,12 +98,12 @@
 	})
 	old.terminate()
 	if !strings.Contains(old.log.String(), "has_successor=true") {
-		h.t.Errorf("the old process did not know of the new one; log:\n%s", old.log)
+		h.t.Errorf("the old process shut down without knowing its successor; log:\n%s", old.log)
 	}
 	return next
 }
 
-// expectAdmin makes a call at the admin server of a process and checks its status.
+// expectAdmin sends a request to the admin server of a process, and checks the status of the response.
 func (h *hotRestartTest) expectAdmin(p *process, path string, want int) {
 	h.t.Helper()
 	if status := adminCall(p.admin, path); status != want {
@@ -110,16 +111,16 @@
 	}
 }
 
-// Several processes in a row replace each other under load, on a listening socket that they inherit: no request is lost, a disabled
-// upstream gets none until it is enabled and serves after that, and an override at either process is in force in both. The admin servers
-// respond while hundreds of clients hold half a request. Connections that are opened while no process runs are served by the next one.
+// Processes replace each other three times under load, with an inherited listening socket. No request is lost, and overrides are in force
+// in all processes: a disabled upstream gets no requests until it is enabled. The admin servers respond although 200 clients hold
+// connections with incomplete requests. A connection that is opened while no process runs is served by the next process.
 func TestHotRestarts(t *testing.T) {
 	e := newEnvironment(t, echo, echo, echo)
 	h := &hotRestartTest{t: t, environment: e, directory: t.TempDir(), stop: make(chan struct{})}
 	h.listener, h.address = listenerFile(t)
 	p := h.startProcess()
 	if p.requestsToFirst(e, "before") == 0 {
-		t.Error("no request to the upstream before it is disabled")
+		t.Error("the upstream gets no requests before it is disabled")
 	}
 	for path, want := range map[string]int{"upstreams/s-9/offline": 404, "upstreams/s-0/offline": 200, "upstreams/s%2d0/offline": 200} {
 		h.expectAdmin(p, path, want)
@@ -131,18 +132,18 @@
 	}
 	h.stopLoad()
 	if n := e.upstreams[0].requests.Load() - before; n != 0 {
-		t.Errorf("%d requests to a disabled upstream", n)
+		t.Errorf("a disabled upstream got %d requests", n)
 	}
 	h.expectAdmin(p, "upstreams/s-0/online", 200)
 	p.waitFor("requests to the enabled upstream", func() bool { return p.requestsToFirst(e, fmt.Sprint(time.Now().UnixNano())) > 0 })
 	p.terminate()
 	if p.latestCounters()("invariant_violations") != 0 {
-		t.Error("an invariant is violated")
+		t.Error("invariants were violated")
 	}
 	h.expectQueuedConnectionServed()
 }
 
-// expectQueuedConnectionServed opens a connection while no process runs, and expects the next process to serve it.
+// expectQueuedConnectionServed opens a connection while no process runs, and checks that the next process serves it.
 func (h *hotRestartTest) expectQueuedConnectionServed() {
 	h.t.Helper()
 	conn, err := net.Dial("tcp", h.address)
@@ -158,7 +159,7 @@
 	}()
 	p := h.startProcess()
 	if err := <-served; err != nil {
-		h.t.Errorf("a queued connection had no response: %v", err)
+		h.t.Errorf("the queued connection got no response: %v", err)
 	}
 	p.terminate()
 }
--- a/cmd/salttrack/kernel.go
+++ b/cmd/salttrack/kernel.go
@@ -7,8 +7,8 @@
 	"salttrack/internal/loop"
 )
 
-// loopKernel returns the kernel that the loop runs on: the machine's.
-func loopKernel(machine loop.Kernel) (loop.Kernel, error) { return machine, nil }
+// loopKernel returns the kernel of the event loop, which is that of the operating system.
+func loopKernel(system loop.Kernel) (loop.Kernel, error) { return system, nil }
 
-// recordFiles returns the calls by which hot restart records are written: the system's.
+// recordFiles returns the file system for hot restart records, which is that of the operating system.
 func recordFiles(system hotrestart.FileSystem) hotrestart.FileSystem { return system }
--- a/cmd/salttrack/kernel_faults.go
+++ b/cmd/salttrack/kernel_faults.go
@@ -10,20 +10,21 @@
 	"salttrack/internal/simulation/faultinject"
 )
 
-// faultsVariable names a file of faults to inject, in a program built with the tag faults.
+// faultsVariable is the environment variable with the path of a file of faults to inject. It has an effect only in a program that is
+// built with the tag faults.
 const faultsVariable = "SALTTRACK_FAULTS"
 
-// loopKernel returns the kernel that the loop runs on: the machine's, with faults injected into it if there is a file of them.
-func loopKernel(machine loop.Kernel) (loop.Kernel, error) {
+// loopKernel returns the kernel of the event loop. It is that of the operating system, with injected faults if there is a faults file.
+func loopKernel(system loop.Kernel) (loop.Kernel, error) {
 	path := os.Getenv(faultsVariable)
 	if path == "" {
-		return machine, nil
+		return system, nil
 	}
-	return faultinject.Load(path, machine)
+	return faultinject.Load(path, system)
 }
 
-// recordFiles returns the calls by which hot restart records are written, with faults injected into them if there is a file of them.
-// loopKernel has returned the error of one that can't be read.
+// recordFiles returns the file system for hot restart records. It has injected faults if there is a faults file with rules for files.
+// It ignores an error of reading the faults file, since loopKernel reports that.
 func recordFiles(system hotrestart.FileSystem) hotrestart.FileSystem {
 	rules, err := faultinject.LoadFileRules(os.Getenv(faultsVariable))
 	if err != nil || len(rules) == 0 {
--- a/cmd/salttrack/limits.go
+++ b/cmd/salttrack/limits.go
@@ -9,10 +9,12 @@
 	"salttrack/internal/node"
 )
 
-// runtimeMemoryShare is the share of the memory limit that the Go runtime tries to stay below: the rest is for what it does not count.
+// runtimeMemoryShare is the share of the memory limit that is set as the soft limit of the Go runtime.
+// The rest is for memory that the runtime does not count.
 const runtimeMemoryShare = 0.7
 
-// applyLimits limits the Go runtime to the configured cores and memory, and the configured descriptors to what the kernel allows.
+// applyLimits limits the Go runtime to the configured cores and memory. It lowers the configured number of descriptors to the limit of
+// the kernel.
 func applyLimits(c *node.Config) {
 	runtime.GOMAXPROCS(max(1, int(c.Limits.Cores)))
 	limitMemory(c.Limits.MemoryMB)
@@ -22,7 +24,8 @@
 	}
 }
 
-// limitMemory lets the Go runtime collect garbage more often as the process approaches a memory limit.
+// limitMemory sets the soft memory limit of the Go runtime by a memory limit in MB. As the memory in use approaches the soft limit, the
+// runtime collects garbage more often.
 func limitMemory(limitMB float64) {
 	debug.SetMemoryLimit(int64(limitMB * runtimeMemoryShare * (1 << 20)))
 }
--- a/cmd/salttrack/listening_test.go
+++ b/cmd/salttrack/listening_test.go
@@ -7,19 +7,19 @@
 
 const addressInUse = "address already in use"
 
-// launchWithAddressInUse launches a program whose address for clients ("listen") or operators ("admin") is in use, and waits until its
-// log says so. The returned function frees the address.
+// launchWithAddressInUse launches a program with an address that is in use, and waits until the program logs the error. The key of the
+// address in the configuration is "listen" or "admin". The returned function free closes the socket that uses the address.
 func launchWithAddressInUse(t *testing.T, e *environment, key string) (p *program, address string, free func()) {
 	t.Helper()
 	inUse := listen(t)
 	t.Cleanup(func() { inUse.Close() })
 	address = inUse.Addr().String()
 	p = launch(t, e.config(func(config map[string]any) { config[key] = address }))
-	p.waitFor("the log of the address", func() bool { return strings.Contains(p.log.String(), addressInUse) })
+	p.waitFor("the logged error", func() bool { return strings.Contains(p.log.String(), addressInUse) })
 	return p, address, func() { inUse.Close() }
 }
 
-// An address is still in use at the start, by the previous process for example: the balancer retries, and logs that once.
+// If an address is in use at the start, for example by the previous process, the balancer retries and logs the error only once.
 func TestAddressInUse(t *testing.T) {
 	e := newEnvironment(t, echo)
 	for _, key := range []string{"listen", "admin"} {
@@ -29,14 +29,14 @@
 		if key == "admin" {
 			p.waitFor("the admin server", func() bool { return adminCall(address, "ready") == 200 })
 		}
-		p.servesAndTerminates("served-" + key)
+		p.expectServesAndTerminates("served-" + key)
 		if n := strings.Count(p.log.String(), addressInUse); n != 1 {
-			t.Errorf("%s: logged %d times; log:\n%s", key, n, p.log)
+			t.Errorf("%s: the error was logged %d times, want once; log:\n%s", key, n, p.log)
 		}
 	}
 }
 
-// SIGTERM shuts down a balancer that is still waiting for its address.
+// SIGTERM shuts down a balancer that can't listen yet since its address is in use.
 func TestTerminatesWhileAddressInUse(t *testing.T) {
 	p, _, _ := launchWithAddressInUse(t, newEnvironment(t, echo), "listen")
 	p.terminate()
--- a/cmd/salttrack/log_test.go
+++ b/cmd/salttrack/log_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// startWithLogPipe starts a program whose log is a pipe, and returns the reading end of the pipe.
+// startWithLogPipe starts a program that logs to a pipe, and returns the program and the read end of the pipe.
 func startWithLogPipe(t *testing.T, path string) (*program, *os.File) {
 	t.Helper()
 	reader, writer, err := os.Pipe()
@@ -22,7 +22,7 @@
 	return p, reader
 }
 
-// The reader of the log has exited: the balancer serves on and shuts down gracefully.
+// The balancer serves requests and shuts down gracefully although the read end of the log's pipe is closed.
 func TestLogReaderExited(t *testing.T) {
 	e := newEnvironment(t, echo)
 	p, reader := startWithLogPipe(t, e.config(nil))
@@ -32,10 +32,10 @@
 		p.cmd.Process.Signal(syscall.SIGHUP)
 		p.expectStatus("read", "between", 200)
 	}
-	p.servesAndTerminates("last")
+	p.expectServesAndTerminates("last")
 }
 
-// The reader of the log does not read, and the pipe is full: the balancer serves on and shuts down gracefully.
+// The balancer serves requests and shuts down gracefully although the log's pipe is full and nobody reads from it.
 func TestLogReaderBlocked(t *testing.T) {
 	e := newEnvironment(t, echo)
 	p, reader := startWithLogPipe(t, e.config(nil))
@@ -43,12 +43,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const minLineLength = 500 // of the counters
+	const minLineLength = 500 // lower bound of the length of a log line with counters, in bytes
 	for written := 0; written < 2*size; written += minLineLength {
 		p.cmd.Process.Signal(syscall.SIGUSR1)
 		if status, _ := p.do("read", "between"); status != 200 {
 			t.Fatalf("status %d", status)
 		}
 	}
-	p.servesAndTerminates("last")
+	p.expectServesAndTerminates("last")
 }
--- a/cmd/salttrack/main.go
+++ b/cmd/salttrack/main.go
@@ -1,5 +1,5 @@
-// Salttrack is the balancer on sockets: clients on one side, upstreams on the other, and between them the decisions of package balance.
-// It exits with status 0 after a graceful shutdown and with 1 after an error, which is the last line of its log.
+// Salttrack is a load balancer for HTTP/1.1. It forwards requests from clients to upstreams, by the decisions of package balance.
+// It exits with status 0 after a graceful shutdown, and with status 1 after an error, which is the last line of its log.
 package main
 
 import (
@@ -19,20 +19,20 @@
 	"salttrack/internal/node"
 )
 
-// Environment variables of the program, beside those of the configuration.
+// Names of the program's environment variables. Package node has those of the configuration.
 const (
-	logFormatVariable = "BALANCER_LOG_FORMAT" // "json" or "text", which is the default
+	logFormatVariable = "BALANCER_LOG_FORMAT" // log format, "json" or "text"; the default is "text"
 	traceVariable     = "BALANCER_TRACE"      // "on" enables the trace from the start
-	directoryVariable = "TMPDIR"              // where processes of one balancer share their hot restart records
+	directoryVariable = "TMPDIR"              // parent directory of the hot restart records
 )
 
 const (
 	logTimeFormat   = "2006-01-02T15:04:05.000Z07:00"
-	logFlushTimeout = 50 * time.Millisecond // of the exit, for a log whose reader is slow
+	logFlushTimeout = 50 * time.Millisecond // time that the exit of the program waits for a slow reader of the log
 )
 
 func main() {
-	signal.Ignore(unix.SIGPIPE) // the process has to outlive the reader of its log
+	signal.Ignore(unix.SIGPIPE) // otherwise writing to the log would end the process if the reader of the log has exited
 	queue := logqueue.New(os.Stderr)
 	log := logrus.New()
 	log.SetOutput(queue)
@@ -47,7 +47,7 @@
 	}
 }
 
-// logFormatter returns the formatter of log lines by the name of a format.
+// logFormatter returns the formatter of log lines for "json" or "text". Any other name means "text".
 func logFormatter(format string) logrus.Formatter {
 	if format == "json" {
 		return &logrus.JSONFormatter{TimestampFormat: logTimeFormat}
@@ -55,7 +55,7 @@
 	return &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: logTimeFormat}
 }
 
-// run runs a balancer by the configuration that the environment names, until it has shut down.
+// run loads the configuration and runs a balancer until it has shut down.
 func run(log *logrus.Logger) error {
 	c, err := node.Load(os.Getenv)
 	if err != nil {
@@ -80,22 +80,22 @@
 	return errors.Join(err, b.Err)
 }
 
-// openKernel returns the kernel that the loop runs on, which knows the inherited listening socket if there is one.
+// openKernel returns the kernel of the event loop. If a listening socket is inherited, the kernel takes ownership of it.
 func openKernel(c *node.Config) (loop.Kernel, error) {
-	machine, err := epoll.New()
+	system, err := epoll.New()
 	if err != nil {
 		return nil, err
 	}
 	if c.ListenFD >= 0 {
-		if err := machine.Adopt(c.ListenFD); err != nil {
+		if err := system.Adopt(c.ListenFD); err != nil {
 			return nil, fmt.Errorf("BALANCER_LISTEN_FD: %w", err)
 		}
 	}
-	return loopKernel(machine)
+	return loopKernel(system)
 }
 
-// enableHotRestart lets another process replace this one, and this one another, if the listening socket is inherited and there is a
-// directory for the records. The balancer owns the store.
+// enableHotRestart enables hot restart if the listening socket is inherited and a directory for the records is configured.
+// If the directory can't be opened, the balancer runs without hot restart.
 func enableHotRestart(b *node.Node, c *node.Config, log *logrus.Entry) {
 	directory := os.Getenv(directoryVariable)
 	if c.ListenFD < 0 || directory == "" {
--- a/cmd/salttrack/override_test.go
+++ b/cmd/salttrack/override_test.go
@@ -11,15 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// replaceableProgram is a program that another process can replace.
+// replaceableProgram is a program with hot restart enabled.
 type replaceableProgram struct {
 	*program
-	admin     string // the address of its admin server
-	directory string // of its records
-	files     string // the path of its files there, without their endings
+	admin     string // address of the admin server
+	directory string // directory of the hot restart records
+	files     string // path of the program's own files in the directory, without suffix
 }
 
-// startReplaceable starts a program that another process can replace.
+// startReplaceable starts a program with hot restart enabled.
 func startReplaceable(t *testing.T, e *environment, options ...startOption) *replaceableProgram {
 	t.Helper()
 	listener, address := listenerFile(t)
@@ -28,7 +28,7 @@
 	path := e.config(func(config map[string]any) {
 		addAdmin(config)
 		config["listen"] = address
-		settingsOf(config)["invariants"].(map[string]any)["cold_ms"] = 1 // an upstream that is enabled serves at once
+		settingsOf(config)["invariants"].(map[string]any)["cold_ms"] = 1 // short slow start, so that an enabled upstream gets requests at once
 	})
 	p := start(t, path, append(options, inheriting(listener, parent))...)
 	locks, err := filepath.Glob(filepath.Join(parent, "*", "*.lock"))
@@ -38,12 +38,13 @@
 	return &replaceableProgram{program: p, admin: admin, directory: filepath.Dir(locks[0]), files: strings.TrimSuffix(locks[0], ".lock")}
 }
 
-// An override is answered with success only once it is stored. Where it can't be, the status is 503, and it is not in force.
+// The admin server reports success of an override only after the override is stored. If storing fails, the status is 503 and the override
+// is not in force.
 func TestOverrideThatCannotBeStored(t *testing.T) {
 	e := newEnvironment(t, echo, echo)
 	p := startReplaceable(t, e)
-	aside := p.directory + ".aside"
-	if err := os.Rename(p.directory, aside); err != nil {
+	renamed := p.directory + ".renamed"
+	if err := os.Rename(p.directory, renamed); err != nil {
 		t.Fatal(err)
 	}
 	if status := adminCall(p.admin, "upstreams/s-0/offline"); status != 503 {
@@ -52,29 +53,30 @@
 	if p.requestsToFirst(e, "not-in-force") == 0 {
 		t.Error("the override is in force though it was rejected")
 	}
-	if err := os.Rename(aside, p.directory); err != nil {
+	if err := os.Rename(renamed, p.directory); err != nil {
 		t.Fatal(err)
 	}
 	if status := adminCall(p.admin, "upstreams/s-0/offline"); status != 200 {
 		t.Errorf("status %d, want 200", status)
 	}
 	if n := p.requestsToFirst(e, "in-force"); n != 0 {
-		t.Errorf("%d requests to a disabled upstream", n)
+		t.Errorf("a disabled upstream got %d requests", n)
 	}
 	p.terminate()
 }
 
-// A directory that blocks delays no request, and not the shutdown.
+// If writing to the directory of the hot restart records blocks, neither requests nor the shutdown are delayed.
 func TestDirectoryBlocks(t *testing.T) {
 	e := newEnvironment(t, echo, echo)
 	p := startReplaceable(t, e)
-	p.waitFor("the record of a ready process", func() bool { // one that is being written would be renamed with what replaces it
+	// Waits until no record is being written. Otherwise a temporary file could be renamed after it is replaced by a FIFO below.
+	p.waitFor("the record of the ready process", func() bool {
 		text, _ := os.ReadFile(p.files + ".record")
 		return strings.Contains(string(text), `"ready":true`)
 	})
-	for _, ending := range []string{".new", ".record.new"} { // the names under which records are written, of older versions too
-		os.Remove(p.files + ending)
-		if err := unix.Mkfifo(p.files+ending, 0o600); err != nil {
+	for _, suffix := range []string{".new", ".record.new"} { // suffixes of temporary files in older versions and in this one
+		os.Remove(p.files + suffix)
+		if err := unix.Mkfifo(p.files+suffix, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/salttrack/reload_test.go
+++ b/cmd/salttrack/reload_test.go
@@ -11,23 +11,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// The log messages of a reload.
+// Beginnings of the log messages about a reload.
 const (
 	reloadedMessage     = "configuration reloaded"
 	reloadFailedMessage = "configuration reload failed"
 )
 
-// reloadTest is a program whose configuration is reloaded, and the counts of its reloads.
+// reloadTest is a program whose configuration is reloaded.
 type reloadTest struct {
 	*program
-	first, second *environment // of the first configuration, and of changed ones
-	path          string
-	original      []byte // the first configuration
-	succeeded     int
-	failed        int
+	first, second *environment // environment of the original configuration, and of changed ones
+	path          string       // path of the configuration file
+	original      []byte       // original configuration
+	succeeded     int          // number of reloads that have to have succeeded
+	failed        int          // number of reloads that have to have failed
 }
 
-// startReloadTest starts a program whose variables name the first environment's discovery.
+// startReloadTest starts a program with the discovery service of the first environment, which is also set in the program's variable
+// BALANCER_DISCOVERY.
 func startReloadTest(t *testing.T) *reloadTest {
 	t.Helper()
 	r := &reloadTest{first: newEnvironment(t, echo), second: newEnvironment(t, echo)}
@@ -40,7 +41,7 @@
 	return r
 }
 
-// changed returns the first configuration with the second environment's discovery and a further change.
+// changed returns the original configuration with the discovery service of the second environment and a further change.
 func (r *reloadTest) changed(change func(config, settings map[string]any)) []byte {
 	r.t.Helper()
 	var config map[string]any
@@ -53,10 +54,10 @@
 	return text
 }
 
-// moved returns the first configuration with the second environment's discovery.
-func (r *reloadTest) moved() []byte { return r.changed(func(_, _ map[string]any) {}) }
+// withSecondDiscovery returns the original configuration with the discovery service of the second environment.
+func (r *reloadTest) withSecondDiscovery() []byte { return r.changed(func(_, _ map[string]any) {}) }
 
-// write replaces the configuration.
+// write overwrites the configuration file.
 func (r *reloadTest) write(text []byte) {
 	r.t.Helper()
 	if err := os.WriteFile(r.path, text, 0o600); err != nil {
@@ -64,14 +65,14 @@
 	}
 }
 
-// expectReload reloads the configuration, which has to succeed.
+// expectReload reloads the configuration, and checks that the reload succeeds.
 func (r *reloadTest) expectReload() {
 	r.t.Helper()
 	r.succeeded++
 	r.reload()
 }
 
-// expectFailure reloads the configuration, which has to fail, and returns the last line of the log.
+// expectFailure reloads the configuration, checks that the reload fails, and returns the last line of the log.
 func (r *reloadTest) expectFailure() string {
 	r.t.Helper()
 	r.failed++
@@ -80,7 +81,7 @@
 	return log[strings.LastIndex(log, "time="):]
 }
 
-// reload reloads the configuration and checks the number of successes and failures.
+// reload makes the program reload the configuration, and checks the numbers of successful and failed reloads in the log.
 func (r *reloadTest) reload() {
 	r.t.Helper()
 	r.cmd.Process.Signal(syscall.SIGHUP)
@@ -91,50 +92,51 @@
 	}
 }
 
-// counter makes the program log its counters, and returns one of them.
+// counter makes the program log its counters, and returns the counter with a name.
 func (r *reloadTest) counter(name string) int {
 	r.t.Helper()
 	lists := func() int { return len(counterList.FindAllString(r.log.String(), -1)) }
 	before := lists()
 	r.cmd.Process.Signal(syscall.SIGUSR1)
-	r.waitFor("counters", func() bool { return lists() > before })
+	r.waitFor("a log line with counters", func() bool { return lists() > before })
 	return r.latestCounters()(name)
 }
 
-// finish checks the counters, and shuts the program down with a reload on its heels.
-func (r *reloadTest) finish(watchMoves int) {
+// finish checks the counters, and terminates the program with a reload directly after SIGTERM.
+func (r *reloadTest) finish(addressChanges int) {
 	r.t.Helper()
-	if r.counter("watch_address_changes") != watchMoves || r.counter("config_reloads") != r.succeeded ||
+	if r.counter("watch_address_changes") != addressChanges || r.counter("config_reloads") != r.succeeded ||
 		r.counter("config_reloads_failed") != r.failed || r.counter("invariant_violations") != 0 {
-		r.t.Errorf("counters %v, want %d moves, %d reloads, %d failed", r.counters(), watchMoves, r.succeeded, r.failed)
+		r.t.Errorf("counters %v, want %d address changes, %d reloads, %d failed", r.counters(), addressChanges, r.succeeded, r.failed)
 	}
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	r.cmd.Process.Signal(syscall.SIGHUP)
 	r.waitForExit()
 }
 
-// A configuration that is unchanged is reloaded, one that is truncated at any byte or missing changes nothing.
+// A reload of the unchanged configuration succeeds. A reload fails and changes nothing if the file is truncated at any byte or missing.
 func TestReloadOfTruncatedConfiguration(t *testing.T) {
 	r := startReloadTest(t)
 	r.expectReload()
-	moved := r.moved()
-	for n := range moved {
-		r.write(moved[:n])
+	complete := r.withSecondDiscovery()
+	for n := range complete {
+		r.write(complete[:n])
 		r.expectFailure()
 	}
 	if err := os.Remove(r.path); err != nil {
 		t.Fatal(err)
 	}
 	r.expectFailure()
-	r.expectStatus("read", "served-on", 200)
+	r.expectStatus("read", "after-failures", 200)
 	if n := r.first.upstreams[0].requests.Load(); n != 1 {
 		t.Errorf("%d requests at the first upstream, want 1", n)
 	}
 	r.finish(0)
 }
 
-// A configuration that lacks anything that the running one has, or has an impossible value, changes nothing, and the log names the key.
-func TestReloadOfUnusableConfiguration(t *testing.T) {
+// A reload fails and changes nothing if the configuration lacks a key that the running one has, or has an invalid value. The log names
+// the key.
+func TestReloadOfInvalidConfiguration(t *testing.T) {
 	r := startReloadTest(t)
 	for key, change := range map[string]func(config, settings map[string]any){
 		"limits.max_attempts":   func(_, s map[string]any) { s["limits"].(map[string]any)["max_attempts"] = 0 },
@@ -147,59 +149,59 @@
 	} {
 		r.write(r.changed(change))
 		if line := r.expectFailure(); !strings.Contains(line, key) {
-			t.Errorf("%s: the log says %s", key, line)
+			t.Errorf("the log does not name the key %s: %s", key, line)
 		}
 	}
-	r.expectStatus("read", "before-the-move", 200)
+	r.expectStatus("read", "before-reload", 200)
 	if n := r.first.upstreams[0].requests.Load(); n != 1 {
 		t.Errorf("%d requests at the first upstream, want 1", n)
 	}
-	r.write(r.moved())
+	r.write(r.withSecondDiscovery())
 	r.expectReload()
 	r.finish(1)
 }
 
-// A reload follows discovery to the address that the file names, not to the one of the variable at the start.
-func TestReloadMovesDiscovery(t *testing.T) {
+// A reload changes the address of discovery to the one in the file, although the variable BALANCER_DISCOVERY has the earlier address.
+func TestReloadChangesDiscovery(t *testing.T) {
 	r := startReloadTest(t)
 	r.expectStatus("read", "before", 200)
-	lists := r.counter("endpoint_updates")
-	r.write(r.moved())
+	updates := r.counter("endpoint_updates")
+	r.write(r.withSecondDiscovery())
 	r.expectReload()
 	r.expectReload()
-	r.waitFor("the endpoint list from the new address", func() bool { return r.counter("endpoint_updates") == lists+1 })
+	r.waitFor("the endpoint list from the new address", func() bool { return r.counter("endpoint_updates") == updates+1 })
 	r.first.discovery.Close()
 	r.expectStatus("read", "after", 200)
 	if before, after := r.first.upstreams[0].requests.Load(), r.second.upstreams[0].requests.Load(); before != 1 || after != 1 {
-		t.Errorf("%d requests before the move and %d after it, want 1 and 1", before, after)
+		t.Errorf("%d requests before the reload and %d after it, want 1 and 1", before, after)
 	}
 	r.finish(1)
 }
 
-// A reload adds, keeps and removes classes, and the log names what only a restart changes, at each reload.
+// A reload adds, keeps and removes classes. At each reload the log names the changed values that take effect only after a restart.
 func TestReloadChangesClasses(t *testing.T) {
 	r := startReloadTest(t)
-	r.write(r.moved())
+	r.write(r.withSecondDiscovery())
 	r.expectReload()
 	r.write(r.changed(func(_, s map[string]any) {
-		fresh := map[string]any{"name": "fresh", "on_time_ms": 2000, "deadline_ms": 5000, "worth": 2, "idempotency": "retryable"}
+		added := map[string]any{"name": "added", "on_time_ms": 2000, "deadline_ms": 5000, "worth": 2, "idempotency": "retryable"}
 		s["replicas_of_me"] = 2
-		s["classes"] = []any{fresh, classOf(s, 0)}
+		s["classes"] = []any{added, classOf(s, 0)}
 	}))
 	r.expectReload()
-	for class, want := range map[string]int{"fresh": 200, "read": 200, "pay": 400} {
+	for class, want := range map[string]int{"added": 200, "read": 200, "pay": 400} {
 		r.expectStatus(class, "new-"+class, want)
 	}
 	r.write(r.changed(func(_, s map[string]any) { s["me"] = 1 }))
 	r.expectReload()
 	r.expectReload()
 	if log := r.log.String(); strings.Count(log, "needs_restart=") != 2 || !strings.Contains(log, "needs_restart=settings.me") {
-		t.Errorf("the log does not say that this alone needs a restart:\n%s", log)
+		t.Errorf("the log does not name settings.me alone as a change that needs a restart:\n%s", log)
 	}
 	r.finish(1)
 }
 
-// The configuration blocks when it is opened: the balancer serves on, and a SIGTERM is not delayed by the SIGHUP.
+// If opening the configuration file blocks a reload, the balancer serves requests and handles other signals without delay.
 func TestReloadBlocks(t *testing.T) {
 	e := newEnvironment(t, echo)
 	path := e.config(nil)
@@ -215,5 +217,5 @@
 		time.Sleep(time.Millisecond)
 	}
 	p.requestCounters()
-	p.servesAndTerminates("last")
+	p.expectServesAndTerminates("last")
 }
--- a/cmd/salttrack/scale_test.go
+++ b/cmd/salttrack/scale_test.go
@@ -12,15 +12,15 @@
 	"testing"
 )
 
-// usage is what a process has used of the machine.
+// usage is the resource usage of a process.
 type usage struct {
-	peakMB      float64
-	cpuSeconds  float64
-	descriptors int
-	connections int // made to upstreams
+	peakMB      float64 // peak resident memory, in MB
+	cpuSeconds  float64 // CPU time in user and kernel mode, in s
+	descriptors int     // number of open descriptors
+	connections int     // number of connections opened to upstreams since the start
 }
 
-// usage reads what the program has used.
+// usage returns the resource usage of the program.
 func (p *program) usage() usage {
 	p.t.Helper()
 	directory := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
@@ -34,7 +34,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')'):])) // utime and stime are the 12th and 13th
+	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')'):])) // fields 12 and 13 are utime and stime
 	user, _ := strconv.ParseFloat(fields[12], 64)
 	system, _ := strconv.ParseFloat(fields[13], 64)
 	open, err := filepath.Glob(directory + "fd/*")
@@ -51,13 +51,13 @@
 	}
 }
 
-// largeEnvironment is an environment whose upstreams are one server, at as many loopback addresses.
+// largeEnvironment is an environment with many upstreams. They are one server that listens on all loopback addresses.
 type largeEnvironment struct {
 	*environment
-	endpoints []string
+	endpoints []string // JSON objects of the endpoint list
 }
 
-// newLargeEnvironment returns an environment with so many upstreams on a port of all loopback addresses.
+// newLargeEnvironment returns an environment with a number of upstreams, each at another loopback address and the same port.
 func newLargeEnvironment(t *testing.T, port, upstreams int) *largeEnvironment {
 	t.Helper()
 	e := &largeEnvironment{environment: newEnvironment(t)}
@@ -70,13 +70,14 @@
 	return e
 }
 
-// drain lets an upstream drain, by an update with a revision.
+// drain sends an endpoint update with a revision, by which an upstream starts draining.
 func (e *largeEnvironment) drain(i, revision int) {
 	draining := strings.Replace(e.endpoints[i], "in_service", "terminating", 1)
 	e.sendUpdate(fmt.Sprintf(`{"revision":%d,"complete":false,"members":[%s]}`, revision, draining))
 }
 
-// usageWithUpstreams returns what a program uses that serves 400 requests, with so many upstreams of which some drain meanwhile.
+// usageWithUpstreams returns the resource usage of a program with a number of upstreams after 400 requests. During the requests ten of
+// the upstreams start draining.
 func usageWithUpstreams(t *testing.T, port, upstreams int) usage {
 	t.Helper()
 	e := newLargeEnvironment(t, port, upstreams)
@@ -94,7 +95,7 @@
 	return u
 }
 
-// What a balancer uses grows with the number of upstreams within the bounds of the capacity page: sixteen times as many, the same load.
+// Resource usage with 3,200 upstreams stays within the bounds of the capacity page, relative to 200 upstreams and the same load.
 func TestSixteenTimesTheUpstreams(t *testing.T) {
 	listener, err := net.Listen("tcp", "0.0.0.0:0")
 	if err != nil {
--- a/cmd/salttrack/serving_test.go
+++ b/cmd/salttrack/serving_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Requests of both classes are served, an unknown class is rejected, and the counters add up.
+// Requests of both classes are served, a request of an unknown class is rejected, and the counters are consistent.
 func TestServes(t *testing.T) {
 	e := newEnvironment(t, echo, echo)
 	p := start(t, e.config(nil))
@@ -38,7 +38,7 @@
 	}
 }
 
-// No request goes to an upstream once discovery has said that it is draining or gone.
+// No request goes to an upstream once discovery lists it as draining or terminated.
 func TestDrainingUpstream(t *testing.T) {
 	e := newEnvironment(t, echo, echo)
 	p := start(t, e.config(nil))
@@ -47,16 +47,16 @@
 		p.waitFor("the endpoint update", func() bool {
 			p.cmd.Process.Signal(syscall.SIGUSR1)
 			time.Sleep(5 * time.Millisecond)
-			return p.counters()["endpoint_updates"] >= 3+i // the cached one, the first, and the changes
+			return p.counters()["endpoint_updates"] >= 3+i // updates from the cached list, the first snapshot and the changes so far
 		})
 		if n := p.requestsToFirst(e, phase); n != 0 {
-			t.Errorf("%s: %d requests", phase, n)
+			t.Errorf("an upstream in the phase %s got %d requests, want 0", phase, n)
 		}
 	}
 	p.terminate()
 }
 
-// While discovery is down the cached endpoint list serves.
+// While discovery is down, the balancer serves requests with the cached endpoint list.
 func TestCachedEndpointList(t *testing.T) {
 	e := newEnvironment(t, echo)
 	e.discovery.Close()
@@ -68,16 +68,16 @@
 	p.expectStatus("read", "1", 200)
 	p.terminate()
 	if !strings.Contains(p.log.String(), "discovery watch failed") {
-		t.Error("the log does not say that discovery is down")
+		t.Error("the log does not report the failed watch")
 	}
 }
 
-// An upstream that died refuses connections: requests are served by the other one.
+// If one of two upstreams has stopped and refuses connections, the other one serves the requests.
 func TestDeadUpstream(t *testing.T) {
 	e := newEnvironment(t, echo, echo)
 	p := start(t, e.config(nil))
 	for i := range 40 {
-		p.do("read", fmt.Sprint("warm", i))
+		p.do("read", fmt.Sprint("warmup", i))
 	}
 	e.upstreams[0].server.Close()
 	served := 0
@@ -87,7 +87,7 @@
 		}
 	}
 	if served < 30 {
-		t.Errorf("%d of 40 served with one of two upstreams dead", served)
+		t.Errorf("%d of 40 requests served with one of two upstreams stopped, want at least 30", served)
 	}
 	p.terminate()
 }
--- a/cmd/salttrack/shutdown_test.go
+++ b/cmd/salttrack/shutdown_test.go
@@ -14,27 +14,28 @@
 	"time"
 )
 
-// The platform sends SIGKILL at the earliest so long after SIGTERM: the longest deadline, counted up to a maximum, and a grace period.
+// Terms of the time between SIGTERM and the earliest SIGKILL of the platform. That time is the longest deadline, but at most
+// maxCountedDeadline, plus killGracePeriod.
 const (
 	killGracePeriod    = 700 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
 )
 
-// hangDuration is how long before SIGKILL upstreams stop to respond to a third of the requests. If they did so earlier, the balancer would
-// send them nothing any more.
+// hangDuration is the time before SIGKILL in which upstreams do not respond to a third of the requests. If it were longer, the balancer
+// would stop sending requests to them.
 const hangDuration = 600 * time.Millisecond
 
-// lateClient is a client whose connection is open before SIGTERM, and whose request, or the rest of it, is sent after SIGTERM.
+// lateClient is a client that connects before SIGTERM, and sends its request or the rest of it after SIGTERM.
 type lateClient struct {
 	id        string
 	conn      net.Conn
-	rest      string // of the request, to be sent after SIGTERM
-	ended     chan struct{}
-	responded bool // with a complete response
-	completed bool // the last byte of the request was written
+	rest      string        // part of the request that is sent after SIGTERM
+	ended     chan struct{} // closed when the response was received or the connection has ended
+	responded bool          // whether a complete response was received
+	completed bool          // whether the last byte of the request was written
 }
 
-// newLateClient connects, and sends the first bytes of a request.
+// newLateClient connects and sends the first bytes of a request.
 func newLateClient(t *testing.T, address, id, request string, firstBytes int) *lateClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -49,7 +50,7 @@
 	return c
 }
 
-// readResponse reads the response, or to the end of the connection.
+// readResponse reads until the response is complete or the connection ends.
 func (c *lateClient) readResponse() {
 	defer close(c.ended)
 	response, err := http.ReadResponse(bufio.NewReader(c.conn), nil)
@@ -60,7 +61,7 @@
 	c.responded = err == nil
 }
 
-// finish sends the rest of the request, unless the connection has ended by then, and waits for its end.
+// finish sends the rest of the request, unless the connection has already ended, and waits for the response or the end of the connection.
 func (c *lateClient) finish() {
 	defer c.conn.Close()
 	select {
@@ -74,7 +75,7 @@
 	<-c.ended
 }
 
-// forwardedRequests is the set of requests that upstreams have received.
+// forwardedRequests is the set of ids of the requests that upstreams have received.
 type forwardedRequests struct {
 	mu  sync.Mutex
 	ids map[string]bool
@@ -95,26 +96,26 @@
 // killCase is a case of TestKilledAtTheEarliest.
 type killCase struct {
 	longestDeadline time.Duration
-	reload          bool
-	stopped         time.Duration // the process gets no CPU for so long when the signal arrives
+	reload          bool          // whether the configuration is reloaded together with SIGTERM
+	stopped         time.Duration // time for which the process gets no CPU when SIGTERM arrives
 }
 
-// killAfter is the time from SIGTERM to SIGKILL.
+// killAfter returns the time from SIGTERM to the earliest SIGKILL.
 func (k killCase) killAfter() time.Duration {
 	return min(k.longestDeadline, maxCountedDeadline) + killGracePeriod
 }
 
-// killTest is one play of a case.
+// killTest is one run of a killCase.
 type killTest struct {
 	killCase
 	*program
 	forwarded forwardedRequests
-	hanging   atomic.Bool // upstreams respond no more to a third of the requests
+	hanging   atomic.Bool // whether upstreams no longer respond to a third of the requests
 	clients   []*lateClient
-	killed    bool
+	killed    bool // whether the program was killed, since it had not exited in time
 }
 
-// serve is an upstream.
+// serve is the handler of the upstreams.
 func (k *killTest) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Txn")
 	k.forwarded.add(id)
@@ -125,9 +126,9 @@
 	echo(w, r)
 }
 
-// Connections that are open before SIGTERM bring their first request, or the rest of one, at any time up to SIGKILL, which is sent at the
-// earliest time that the platform allows, while upstreams begin to hang. Every accepted request has its response before SIGKILL, and the
-// process has exited by itself. This is the incident of 2026-12-02.
+// Guards against accepted requests that are lost at SIGKILL, as in the incident of 2026-12-02. Clients that connected before SIGTERM send
+// their request, or the rest of it, at any time up to the earliest SIGKILL, while upstreams stop responding.
+// Every accepted request gets its response, and the process exits before SIGKILL.
 func TestKilledAtTheEarliest(t *testing.T) {
 	for _, tt := range []killCase{
 		{longestDeadline: 20 * time.Millisecond},
@@ -150,7 +151,7 @@
 	}
 }
 
-// start starts the program, with the longest deadline for one class and half of it for the other.
+// start starts the program. One class has the longest deadline, and the other one has half of it.
 func (k *killTest) start(t *testing.T) {
 	e := newEnvironment(t, k.serve, k.serve)
 	k.program = start(t, e.config(func(config map[string]any) {
@@ -162,7 +163,8 @@
 	}))
 }
 
-// connect opens the connections. The balancer accepts connections in sequence: it has accepted all of them once it responds on one more.
+// connect opens the connections of the clients and waits until the balancer has accepted them. Since it accepts connections in sequence,
+// that is the case once it responds on a later connection.
 func (k *killTest) connect(t *testing.T) {
 	const clients = 200
 	for i := range clients {
@@ -177,7 +179,8 @@
 	}
 }
 
-// terminateAndKill sends SIGTERM, and finishes the requests one after the other until the program exits or is killed.
+// terminateAndKill sends SIGTERM, and finishes the requests at regular intervals up to the earliest time of SIGKILL.
+// If the program has not exited by then, it is killed.
 func (k *killTest) terminateAndKill(t *testing.T) {
 	if k.stopped > 0 {
 		k.cmd.Process.Signal(syscall.SIGSTOP)
@@ -202,17 +205,17 @@
 	select {
 	case err := <-k.exited:
 		if err != nil {
-			t.Errorf("exited with %v", err)
+			t.Errorf("the program exited with %v", err)
 		}
 	case <-time.After(time.Until(signalledAt.Add(k.killAfter()))):
 		k.cmd.Process.Kill()
 		k.killed = true
-		t.Error("still running at SIGKILL")
+		t.Error("the program is still running at the time of SIGKILL")
 	}
 }
 
-// check checks that no accepted request was lost. A request that no upstream received, of a program that exited by itself, crossed a
-// graceful close of its connection and was not read.
+// check checks that no accepted request was lost. If the program exited by itself, a complete request without a response that no upstream
+// received was not accepted: it was sent while the balancer closed its connection.
 func (k *killTest) check(t *testing.T) {
 	var lost []string
 	for _, c := range k.clients {
--- a/cmd/salttrack/signals.go
+++ b/cmd/salttrack/signals.go
@@ -11,12 +11,13 @@
 	"salttrack/internal/node"
 )
 
-// maxQueuedSignals is how many signals may be queued, beside those that shut down.
+// maxQueuedSignals is the capacity of the queue of signals that do not shut down.
 const maxQueuedSignals = 8
 
-// handleSignals starts the goroutines that handle signals, which run until the process exits: SIGTERM and SIGINT start the shutdown,
-// SIGHUP reloads the configuration, SIGUSR1 logs the counters, SIGUSR2 enables or disables the trace. Each kind that may block, on a disk,
-// the log or the loop, has a goroutine of its own, so that none delays a shutdown.
+// handleSignals starts the goroutines that handle signals, which run until the process exits. SIGTERM and SIGINT start the shutdown,
+// SIGHUP reloads the configuration, SIGUSR1 logs the counters, and SIGUSR2 enables or disables the trace.
+// Handling a signal may block on a disk, the log or the event loop. Shutdowns and reloads have their own goroutines for that reason:
+// neither a reload nor any other signal delays a shutdown.
 func handleSignals(b *node.Node, l *loop.Loop, log *logrus.Entry) {
 	shutdown := make(chan os.Signal, 1)
 	signal.Notify(shutdown, unix.SIGTERM, unix.SIGINT)
@@ -41,8 +42,9 @@
 	}()
 }
 
-// handleShutdown starts the shutdown at each signal. The signal counts from the earliest time at which the events of the loop's present
-// turn may have arrived, since they are handled as if they had arrived then.
+// handleShutdown starts the shutdown when a signal arrives; further signals have no effect. The shutdown counts from the time of the signal
+// or, if that is earlier, from the earliest time at which events of the loop's present turn may have arrived, since the loop handles these
+// events as if they had arrived then.
 func handleShutdown(signals <-chan os.Signal, b *node.Node, l *loop.Loop) {
 	for range signals {
 		receivedAt := l.Now()
@@ -50,7 +52,7 @@
 	}
 }
 
-// requestReload requests a reload. If one is requested already, it will read the file as it is then.
+// requestReload requests a reload. It does nothing if a requested reload has not started yet, since that one reads the current file.
 func requestReload(reload chan<- struct{}) {
 	select {
 	case reload <- struct{}{}:
@@ -58,7 +60,7 @@
 	}
 }
 
-// handleReload reads the configuration at each request. The file may block at any point of that.
+// handleReload reads the configuration and applies it at each request. Reading the file may block.
 func handleReload(requests <-chan struct{}, b *node.Node, l *loop.Loop) {
 	for range requests {
 		c, err := node.Reload(os.Getenv)
--- a/cmd/salttrack/streaming_test.go
+++ b/cmd/salttrack/streaming_test.go
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// longBodySize is more than the programs of these tests may use of memory.
+// longBodySize is the length of a body in bytes. The memory limit of the program in TestLongBodies is not higher.
 const longBodySize = 32 << 20
 
-// longBody returns a body that shows every byte that is lost, repeated or moved.
+// longBody returns a body whose checksum changes if any byte is lost, repeated or moved.
 var longBody = sync.OnceValue(func() []byte {
 	p := make([]byte, longBodySize)
 	for i := range p {
@@ -33,7 +33,7 @@
 	return h.Sum64()
 }
 
-// longBodyTest is a program that streams bodies both ways. Both ends of a stream pause in its middle until resume is set.
+// longBodyTest is a program that streams request and response bodies. The receivers of the bodies pause until resume is set.
 type longBodyTest struct {
 	*program
 	resume atomic.Bool
@@ -45,7 +45,8 @@
 	}
 }
 
-// serve is an upstream that sends the long body for a GET, and responds to a POST with the length and checksum of its body.
+// serve is the handler of the upstreams. It responds to a GET with the long body, and to a POST with the length and checksum of the body
+// that it received.
 func (l *longBodyTest) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method == "GET" {
 		if strings.HasSuffix(r.URL.Path, "/sized") {
@@ -63,7 +64,7 @@
 	}
 }
 
-// download requests the long body, with or without its length, and checks it. BeforeBody is called once the response has begun.
+// download requests the long body, with a Content-Length or chunked, and checks it. It calls beforeBody once the response has started.
 func (l *longBodyTest) download(n int, beforeBody func()) {
 	response, err := l.send(request{class: "read", path: []string{"sized", "chunked"}[n%2], id: fmt.Sprint("down", n), remaining: "5"})
 	beforeBody()
@@ -77,11 +78,11 @@
 	}
 }
 
-// upload sends the long body, with or without its length, and checks what the upstream received.
+// upload sends the long body, with a Content-Length or chunked, and checks the length and checksum that the upstream received.
 func (l *longBodyTest) upload(n int) {
 	var body io.Reader = bytes.NewReader(longBody())
 	if n%2 == 0 {
-		body = io.MultiReader(body) // hides the length
+		body = io.MultiReader(body) // hides the length from package http, which then sends the body chunked
 	}
 	response, err := l.send(request{class: "pay", path: "x", id: fmt.Sprint("up", n), remaining: "60", body: body})
 	if err != nil {
@@ -94,8 +95,8 @@
 	}
 }
 
-// Bodies of 32 MB both ways at once, far more than the memory limit, whose receivers pause: all arrive completely, and the memory does
-// not grow with them.
+// Ten bodies of 32 MB are streamed in both directions at once, ten times the memory limit of 32 MB, while the receivers pause.
+// All bodies arrive completely, and the memory in use does not grow with them.
 func TestLongBodies(t *testing.T) {
 	const downloads, uploads = 6, 4
 	l := &longBodyTest{}
@@ -103,7 +104,7 @@
 	l.program = start(t, e.config(func(config map[string]any) {
 		config["limits"] = map[string]any{"cores": 1.0, "memory_mb": 32, "sockets": 256}
 		pay := classOf(settingsOf(config), 1)
-		pay["on_time_ms"], pay["deadline_ms"] = 60000, 60000 // the fake upstreams may be slow
+		pay["on_time_ms"], pay["deadline_ms"] = 60000, 60000 // long, since the fake upstreams may be slow
 	}))
 	var streams, begun sync.WaitGroup
 	begun.Add(downloads)
@@ -118,8 +119,8 @@
 	streams.Wait()
 	peakMB := l.usage().peakMB
 	t.Logf("peak memory %.1f MB with 320 MB of bodies", peakMB)
-	if peakMB > 105 { // the race detector multiplies what is used
-		t.Errorf("peak memory %.1f MB", peakMB)
+	if peakMB > 105 { // above the memory limit, since the race detector multiplies the memory in use
+		t.Errorf("peak memory %.1f MB, at most 105 MB allowed", peakMB)
 	}
 	l.terminate()
 	if c := l.latestCounters(); c("invariant_violations") != 0 || c("body_buffers_in_use") != 0 || c("upstream_responses_streamed") != downloads || c("client_requests_streamed") != uploads {
@@ -127,7 +128,8 @@
 	}
 }
 
-// abortingUpstream breaks off its long responses, and counts the requests whose body it received completely.
+// abortingUpstream is an upstream that aborts its responses to GET requests after 1 MB. It counts the POST requests whose body it has
+// received completely.
 type abortingUpstream struct{ completeBodies atomic.Int64 }
 
 func (a *abortingUpstream) serve(w http.ResponseWriter, r *http.Request) {
@@ -144,7 +146,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// A long response that the upstream breaks off is visibly incomplete at the client.
+// If the upstream aborts a streamed response, the client gets an error instead of a response that looks complete.
 func TestIncompleteResponse(t *testing.T) {
 	upstream := &abortingUpstream{}
 	e := newEnvironment(t, upstream.serve)
@@ -163,7 +165,7 @@
 	p.expectNothingInFlight()
 }
 
-// expectNothingInFlight checks the latest counters of a program that has exited.
+// expectNothingInFlight checks that a program has exited without requests in progress, body buffers in use or violated invariants.
 func (p *program) expectNothingInFlight() {
 	p.t.Helper()
 	if c := p.latestCounters(); c("invariant_violations") != 0 || c("body_buffers_in_use") != 0 || c("requests_in_progress") != 0 {
@@ -171,19 +173,19 @@
 	}
 }
 
-// A long request whose client breaks it off after 100 Continue and a part of the body, or whose chunks turn out malformed, which is a
-// 400, is visibly incomplete at the upstream.
+// If the client aborts a streamed request, the upstream gets an error instead of a request that looks complete. The same holds if a chunk
+// of the request is malformed, and then the client gets the status 400.
 func TestIncompleteRequest(t *testing.T) {
 	upstream := &abortingUpstream{}
 	e := newEnvironment(t, upstream.serve)
 	p := start(t, e.config(nil))
 	for i, tt := range []struct {
-		framing, begin string
-		malformed      bool
+		framing, chunkHeader string
+		malformed            bool
 	}{
 		{framing: fmt.Sprint("Content-Length: ", longBodySize)},
-		{framing: "Transfer-Encoding: chunked", begin: "100000\r\n"},
-		{framing: "Transfer-Encoding: chunked", begin: "80000\r\n", malformed: true},
+		{framing: "Transfer-Encoding: chunked", chunkHeader: "100000\r\n"},
+		{framing: "Transfer-Encoding: chunked", chunkHeader: "80000\r\n", malformed: true},
 	} {
 		conn := p.dial()
 		reader, before := bufio.NewReader(conn), e.upstreams[0].requests.Load()
@@ -194,7 +196,7 @@
 		}
 		fmt.Fprintf(conn, "POST /pay/x HTTP/1.1\r\nX-Txn: cut%d\r\nX-Lane: pay\r\nX-Remaining: 5\r\nExpect: 100-continue\r\n%s\r\n\r\n", i, tt.framing)
 		expectStatus(100)
-		fmt.Fprintf(conn, "%s%s", tt.begin, longBody()[:1<<19])
+		fmt.Fprintf(conn, "%s%s", tt.chunkHeader, longBody()[:1<<19])
 		p.waitFor("the request at the upstream", func() bool { return e.upstreams[0].requests.Load() > before })
 		if tt.malformed {
 			fmt.Fprint(conn, "\r\nzz\r\n")
@@ -204,7 +206,7 @@
 	}
 	p.terminate()
 	if n := upstream.completeBodies.Load(); n != 0 {
-		t.Errorf("%d incomplete requests were complete at the upstream", n)
+		t.Errorf("%d incomplete requests looked complete to the upstream", n)
 	}
 	p.expectNothingInFlight()
 }
--- a/cmd/salttrack/trace_test.go
+++ b/cmd/salttrack/trace_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// linesWith returns the fields of the log's lines that have a value in a field, in sequence.
+// linesWith returns the log lines in which a field has a value, in sequence. Each line is a map of its fields.
 func (p *program) linesWith(field, value string) []map[string]any {
 	var lines []map[string]any
 	for line := range strings.Lines(p.log.String()) {
@@ -20,30 +20,30 @@
 	return lines
 }
 
-// checkTraceLine checks the fields of a line, and returns its message.
+// checkTraceLine checks the fields of a trace line, and returns its message.
 func checkTraceLine(t *testing.T, line map[string]any) string {
 	t.Helper()
 	message := line["msg"].(string)
 	switch message {
 	case "attempt sent", "attempt ended":
 		if upstream, _ := line["upstream"].(string); !strings.HasPrefix(upstream, "s-") || line["attempt"] == nil {
-			t.Errorf("an attempt without its upstream or number: %v", line)
+			t.Errorf("the line of an attempt lacks its upstream or number: %v", line)
 		}
 	case "response sent":
 		if line["outcome"] != "rejected" || line["reason"] == nil {
-			t.Errorf("a response without outcome and reason: %v", line)
+			t.Errorf("the line of a response lacks its outcome or reason: %v", line)
 		}
 	}
 	return message
 }
 
-// The trace says what happened to a request: its attempts, their upstreams and outcomes, and its own outcome. SIGUSR2 disables the trace
-// while the program runs. The log of the shutdown says that no request is in flight at its end.
+// The trace of a request has lines for its attempts, with their upstreams and outcomes, and for the response. SIGUSR2 disables the trace
+// while the program runs. The last line of the shutdown reports that no request is in flight.
 func TestTrace(t *testing.T) {
 	fails := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }
 	e := newEnvironment(t, fails, fails)
 	p := start(t, e.config(nil), withVariable("BALANCER_LOG_FORMAT=json"), withVariable("BALANCER_TRACE=on"))
-	for range 40 { // retries are a share of requests
+	for range 40 { // allows retries, whose number is limited to a share of the requests
 		p.do("read", "before")
 	}
 	p.do("read", "traced")
@@ -55,19 +55,19 @@
 	for _, line := range p.linesWith("request", "traced") {
 		messages = append(messages, checkTraceLine(t, line))
 	}
-	text := strings.ReplaceAll(strings.Join(messages, ", "), "upstream connected, ", "") // a connection may be used again
+	text := strings.ReplaceAll(strings.Join(messages, ", "), "upstream connected, ", "") // an attempt may reuse a connection, and then has no such line
 	if !strings.HasPrefix(text, "request accepted, attempt sent, attempt ended, ") || !strings.HasSuffix(text, ", response sent") {
-		t.Errorf("the trace says %s", text)
+		t.Errorf("the trace has the messages %s", text)
 	}
 	p.cmd.Process.Signal(syscall.SIGUSR2)
 	p.waitFor("the trace to be disabled", func() bool { return strings.Contains(p.log.String(), `"msg":"request trace disabled"`) })
 	p.do("read", "untraced")
 	p.terminate()
 	if lines := p.linesWith("request", "untraced"); len(lines) != 0 {
-		t.Errorf("traced though the trace is disabled: %v", lines)
+		t.Errorf("a request is traced though the trace is disabled: %v", lines)
 	}
 	completed := p.linesWith("msg", "shutdown completed")
 	if len(completed) != 1 || completed[0]["in_flight"] != 0.0 {
-		t.Errorf("the log does not say that nothing is in flight; log:\n%s", p.log)
+		t.Errorf("the log does not report 0 requests in flight after the shutdown; log:\n%s", p.log)
 	}
 }
