--- a/cmd/salttrack/configuration_test.go
+++ b/cmd/salttrack/configuration_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Environment variables take precedence over the file. The exception is the address of discovery in a reload, since the file is newer
-// than the variable.
+// Environment variables take precedence over the file.
+// The exception is the address of discovery in a reload, since the file is newer than the variable.
 func TestEnvironmentPrecedence(t *testing.T) {
 	e := newEnvironment(t)
 	path := e.config(nil)
--- a/cmd/salttrack/connections_test.go
+++ b/cmd/salttrack/connections_test.go
@@ -31,7 +31,8 @@
 	return len(entries)
 }
 
-// openIdleConnections opens n connections that send nothing or an incomplete request. It checks the limit of descriptors meanwhile.
+// openIdleConnections opens n connections, on which it sends nothing or an incomplete request.
+// It checks that the program keeps its limit of descriptors.
 func (p *program) openIdleConnections(n int) []net.Conn {
 	p.t.Helper()
 	var idle []net.Conn
@@ -48,9 +49,9 @@
 	return idle
 }
 
-// Guards against running out of descriptors through idle clients. More clients than there are descriptors hold connections without a
-// complete request. The limit is kept, a client with a complete request is served, and a broken watch still gets a descriptor to
-// reconnect, so that the balancer learns of a draining endpoint.
+// Guards against running out of descriptors because of idle clients, of which there are more than descriptors.
+// The limit of descriptors is kept, and a client that sends a complete request is served.
+// A broken watch still gets a descriptor to reconnect, so that the balancer learns of a draining endpoint.
 func TestManyIdleClients(t *testing.T) {
 	e := newEnvironment(t, echo, echo)
 	p := start(t, e.config(withFewDescriptors))
@@ -95,7 +96,8 @@
 	s.counts[status]++
 }
 
-// sendPayments sends three requests with bodies of 60,000 bytes on a connection, until the balancer closes it. It counts the statuses.
+// sendPayments sends three requests of class pay, with bodies of 60,000 bytes, on one connection.
+// It counts the statuses of the responses, and stops early if the balancer closes the connection.
 func (p *program) sendPayments(client int, statuses *statusCounts) {
 	conn, err := net.Dial("tcp", p.address)
 	if err != nil {
@@ -121,8 +123,8 @@
 	}
 }
 
-// Guards against exhausted descriptors and memory when all upstreams accept requests and never respond. Each request still gets one
-// response before its deadline.
+// Guards against exhausted descriptors and memory when all upstreams accept requests and never respond.
+// Each request still gets one response before its deadline.
 func TestUnresponsiveUpstreams(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	e := newEnvironment(t, hang, hang, hang)
--- a/cmd/salttrack/drain_test.go
+++ b/cmd/salttrack/drain_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// persistentClient sends requests one after the other on a persistent connection. If the balancer closes a connection that was used
-// before, while a request is being sent, the client retries the request once on a new connection.
+// persistentClient sends requests one after the other on a persistent connection.
+// If a connection that was used before is closed while a request is being sent, the client retries once on a new connection.
 type persistentClient struct {
 	address string
 	mayDial func() bool
@@ -59,7 +59,7 @@
 	used    bool // whether the connection has carried a response
 }
 
-// outcome is how a request of a persistentClient ended.
+// outcome is the result of a request of a persistentClient.
 type outcome struct {
 	sent      bool // whether the request was written to a connection
 	responded bool // whether a complete response was received
@@ -131,8 +131,8 @@
 	responses    int
 }
 
-// connectDuration is the time after SIGTERM in which clients open new connections. It is shorter than the 400 ms of the platform, so that
-// a slow machine does not make the test fail.
+// connectDuration is the time after SIGTERM in which clients open new connections.
+// It is shorter than the 400 ms in which clients of the platform connect, so that a slow machine does not make the test fail.
 const connectDuration = 100 * time.Millisecond
 
 // mayDial reports whether clients may open new connections.
--- a/cmd/salttrack/faultlayer_test.go
+++ b/cmd/salttrack/faultlayer_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// System calls fail or transfer fewer bytes than requested, or the system clock is stepped. Every request is still served or rejected, no
-// failure is attributed to an upstream, and the shutdown is graceful.
+// System calls fail or transfer fewer bytes than requested, or the system clock is stepped.
+// Every request is still served or rejected, no failure is attributed to an upstream, and the shutdown is graceful.
 func TestFaultLayer(t *testing.T) {
 	for name, faults := range systemFaults {
 		t.Run(name, func(t *testing.T) {
@@ -98,8 +98,9 @@
 	"slow, then full": `{"files":[{"call":"file_write","errno":"ENOSPC","delay_ms":100,"from_ms":500,"for_ms":1500}]}`,
 }
 
-// The directory of the hot restart records is temporarily full, failing or slow. An override is either stored and in force, or rejected
-// with status 503 and not in force. Requests are served meanwhile, and later overrides are stored again.
+// The directory of the hot restart records is temporarily full, failing or slow.
+// An override is either stored and in force, or rejected with status 503 and not in force.
+// Requests are served meanwhile, and later overrides are stored again.
 func TestFaultLayerFiles(t *testing.T) {
 	for name, faults := range storageFaults {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/salttrack/golden_test.go
+++ b/cmd/salttrack/golden_test.go
@@ -17,7 +17,7 @@
 const goldenConfig = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","admin":"127.0.0.1:3","seed":"8c1f",
 	"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":0,"complete":true,"members":[]},"settings":` + settingsJSON + `}`
 
-// edit returns goldenConfig with another value at a path. The value nil removes the key.
+// edit returns goldenConfig with the value at a path replaced. The value nil removes the key.
 func edit(t *testing.T, value any, path ...any) string {
 	t.Helper()
 	var config any
@@ -50,8 +50,8 @@
 	goType  = regexp.MustCompile(`(type |struct field )(?:\w+\.)?[A-Za-z]\w+(\.|")`)
 )
 
-// runToExit runs the program with a configuration text, and returns its exit status and its log. In the log, times are removed, Go type
-// names are replaced by TYPE, and the path of the configuration file by CONFIG.
+// runToExit runs the program with a configuration text, and returns its exit status and its log.
+// In the log, times are removed, Go type names are replaced by TYPE, and the path of the configuration file by CONFIG.
 func runToExit(t *testing.T, config string, environment ...string) (int, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/salttrack/helpers_program_test.go
+++ b/cmd/salttrack/helpers_program_test.go
@@ -137,7 +137,7 @@
 }
 
 // do sends a request of a class, and returns the status and the body of the response.
-// It returns the status 0 if there is no response, which is an error of the test.
+// If there is no response, the test fails and the status is 0.
 func (p *program) do(class, id string) (int, string) {
 	p.t.Helper()
 	r := request{class: class, path: "x", id: id, remaining: "4.0"}
@@ -193,7 +193,7 @@
 	return counters
 }
 
-// latestCounters returns a function that looks up a counter in the last log line with counters. An unknown name is an error of the test.
+// latestCounters returns a function that looks up a counter in the last log line with counters. An unknown name fails the test.
 func (p *program) latestCounters() func(name string) int {
 	p.t.Helper()
 	counters := p.counters()
@@ -264,8 +264,8 @@
 	return func(config map[string]any) { config["admin"] = address }, address
 }
 
-// adminCall sends a request to an admin server, and returns the status of the response, or 0 if there is no response. The method is GET
-// for the path "ready" and POST for any other.
+// adminCall sends a request to an admin server, and returns the status of the response, or 0 if there is no response.
+// The method is GET for the path "ready" and POST for any other.
 func adminCall(address, path string) int {
 	method := "POST"
 	if path == "ready" {
--- a/cmd/salttrack/helpers_test.go
+++ b/cmd/salttrack/helpers_test.go
@@ -50,8 +50,8 @@
 	requests atomic.Int64
 }
 
-// newEnvironment starts the discovery service and one upstream for each handler. The upstreams are named s-0, s-1 and so on, and are
-// in service on the endpoint list.
+// newEnvironment starts the discovery service and one upstream for each handler.
+// The upstreams are named s-0, s-1 and so on, and are in service on the endpoint list.
 func newEnvironment(t *testing.T, handlers ...http.HandlerFunc) *environment {
 	t.Helper()
 	e := &environment{t: t, discovery: listen(t)}
@@ -67,7 +67,7 @@
 	return e
 }
 
-// startUpstream starts an upstream with the next number in its name.
+// startUpstream starts another upstream, which has the next number in its name.
 func (e *environment) startUpstream(handler http.HandlerFunc) {
 	u := &fakeUpstream{id: fmt.Sprintf("s-%d", len(e.upstreams)), listener: listen(e.t)}
 	u.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -91,8 +91,8 @@
 // addressesUsed counts the loopback addresses that were given to programs.
 var addressesUsed atomic.Int32
 
-// freeAddress returns an address for a program to listen on. Each call uses another loopback IP address. With a shared IP address,
-// another test could take the free port before the program listens on it.
+// freeAddress returns an address for a program to listen on. Each call uses another loopback IP address.
+// With a shared IP address, another test could take the free port before the program listens on it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	n := addressesUsed.Add(1)
@@ -186,7 +186,7 @@
 // settingsOf returns the settings of a configuration.
 func settingsOf(config map[string]any) map[string]any { return config["settings"].(map[string]any) }
 
-// classOf returns the class with an index in the settings.
+// classOf returns class number i of the settings.
 func classOf(settings map[string]any, i int) map[string]any {
 	return settings["classes"].([]any)[i].(map[string]any)
 }
--- a/cmd/salttrack/hot_restart_test.go
+++ b/cmd/salttrack/hot_restart_test.go
@@ -32,8 +32,8 @@
 	admin string // address of the admin server
 }
 
-// startProcess starts the next process, and waits until it is ready. Then it opens 200 connections to its admin server and 40 to its
-// address for clients, and sends an incomplete request on each.
+// startProcess starts the next process, and waits until it is ready.
+// Then it opens 200 connections to its admin server and 40 to its address for clients, and sends an incomplete request on each.
 func (h *hotRestartTest) startProcess() *process {
 	h.t.Helper()
 	addAdmin, admin := withAdmin(h.t)
@@ -85,8 +85,8 @@
 	}
 }
 
-// replace replaces a process by the next one, and returns that. It checks that an override which is set in either of them comes into force
-// in the other.
+// replace replaces a process by the next one, and returns that.
+// It checks that an override which is set in either of them comes into force in the other.
 func (h *hotRestartTest) replace(old *process) *process {
 	h.t.Helper()
 	next := h.startProcess()
@@ -111,9 +111,10 @@
 	}
 }
 
-// Processes replace each other three times under load, with an inherited listening socket. No request is lost, and overrides are in force
-// in all processes: a disabled upstream gets no requests until it is enabled. The admin servers respond although 200 clients hold
-// connections with incomplete requests. A connection that is opened while no process runs is served by the next process.
+// Processes replace each other three times under load, with an inherited listening socket.
+// No request is lost, and overrides are in force in all processes: a disabled upstream gets no requests until it is enabled.
+// The admin servers respond although 200 clients hold connections with incomplete requests.
+// A connection that is opened while no process runs is served by the next process.
 func TestHotRestarts(t *testing.T) {
 	e := newEnvironment(t, echo, echo, echo)
 	h := &hotRestartTest{t: t, environment: e, directory: t.TempDir(), stop: make(chan struct{})}
--- a/cmd/salttrack/kernel_faults.go
+++ b/cmd/salttrack/kernel_faults.go
@@ -10,8 +10,8 @@
 	"salttrack/internal/simulation/faultinject"
 )
 
-// faultsVariable is the environment variable with the path of a file of faults to inject. It has an effect only in a program that is
-// built with the tag faults.
+// faultsVariable is the environment variable with the path of a file of faults to inject.
+// It has an effect only in a program that is built with the tag faults.
 const faultsVariable = "SALTTRACK_FAULTS"
 
 // loopKernel returns the kernel of the event loop. It is that of the operating system, with injected faults if there is a faults file.
--- a/cmd/salttrack/listening_test.go
+++ b/cmd/salttrack/listening_test.go
@@ -7,8 +7,8 @@
 
 const addressInUse = "address already in use"
 
-// launchWithAddressInUse launches a program with an address that is in use, and waits until the program logs the error. The key of the
-// address in the configuration is "listen" or "admin". The returned function free closes the socket that uses the address.
+// launchWithAddressInUse launches a program with an address that is in use, and waits until the program logs the error.
+// The key of the address in the configuration is "listen" or "admin". The returned function free closes the socket that uses the address.
 func launchWithAddressInUse(t *testing.T, e *environment, key string) (p *program, address string, free func()) {
 	t.Helper()
 	inUse := listen(t)
--- a/cmd/salttrack/override_test.go
+++ b/cmd/salttrack/override_test.go
@@ -38,8 +38,8 @@
 	return &replaceableProgram{program: p, admin: admin, directory: filepath.Dir(locks[0]), files: strings.TrimSuffix(locks[0], ".lock")}
 }
 
-// The admin server reports success of an override only after the override is stored. If storing fails, the status is 503 and the override
-// is not in force.
+// The admin server reports success of an override only after the override is stored.
+// If storing fails, the status is 503 and the override is not in force.
 func TestOverrideThatCannotBeStored(t *testing.T) {
 	e := newEnvironment(t, echo, echo)
 	p := startReplaceable(t, e)
--- a/cmd/salttrack/reload_test.go
+++ b/cmd/salttrack/reload_test.go
@@ -27,8 +27,8 @@
 	failed        int          // number of reloads that have to have failed
 }
 
-// startReloadTest starts a program with the discovery service of the first environment, which is also set in the program's variable
-// BALANCER_DISCOVERY.
+// startReloadTest starts a program with the discovery service of the first environment,
+// which is also set in the program's variable BALANCER_DISCOVERY.
 func startReloadTest(t *testing.T) *reloadTest {
 	t.Helper()
 	r := &reloadTest{first: newEnvironment(t, echo), second: newEnvironment(t, echo)}
@@ -92,7 +92,7 @@
 	}
 }
 
-// counter makes the program log its counters, and returns the counter with a name.
+// counter makes the program log its counters, and returns the value of the named counter.
 func (r *reloadTest) counter(name string) int {
 	r.t.Helper()
 	lists := func() int { return len(counterList.FindAllString(r.log.String(), -1)) }
@@ -102,7 +102,7 @@
 	return r.latestCounters()(name)
 }
 
-// finish checks the counters, and terminates the program with a reload directly after SIGTERM.
+// finish checks the counters, and terminates the program. It sends SIGHUP directly after SIGTERM, which must not disturb the shutdown.
 func (r *reloadTest) finish(addressChanges int) {
 	r.t.Helper()
 	if r.counter("watch_address_changes") != addressChanges || r.counter("config_reloads") != r.succeeded ||
@@ -134,8 +134,8 @@
 	r.finish(0)
 }
 
-// A reload fails and changes nothing if the configuration lacks a key that the running one has, or has an invalid value. The log names
-// the key.
+// A reload fails and changes nothing if the configuration lacks a key that the running one has, or has an invalid value.
+// The log names the key.
 func TestReloadOfInvalidConfiguration(t *testing.T) {
 	r := startReloadTest(t)
 	for key, change := range map[string]func(config, settings map[string]any){
--- a/cmd/salttrack/scale_test.go
+++ b/cmd/salttrack/scale_test.go
@@ -76,8 +76,8 @@
 	e.sendUpdate(fmt.Sprintf(`{"revision":%d,"complete":false,"members":[%s]}`, revision, draining))
 }
 
-// usageWithUpstreams returns the resource usage of a program with a number of upstreams after 400 requests. During the requests ten of
-// the upstreams start draining.
+// usageWithUpstreams returns the resource usage of a program with a number of upstreams after 400 requests.
+// During the requests ten of the upstreams start draining.
 func usageWithUpstreams(t *testing.T, port, upstreams int) usage {
 	t.Helper()
 	e := newLargeEnvironment(t, port, upstreams)
@@ -95,7 +95,7 @@
 	return u
 }
 
-// Resource usage with 3,200 upstreams stays within the bounds of the capacity page, relative to 200 upstreams and the same load.
+// Resource usage with 3,200 upstreams stays within the bounds of the capacity page in docs, relative to 200 upstreams and the same load.
 func TestSixteenTimesTheUpstreams(t *testing.T) {
 	listener, err := net.Listen("tcp", "0.0.0.0:0")
 	if err != nil {
--- a/cmd/salttrack/shutdown_test.go
+++ b/cmd/salttrack/shutdown_test.go
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// Terms of the time between SIGTERM and the earliest SIGKILL of the platform. That time is the longest deadline, but at most
-// maxCountedDeadline, plus killGracePeriod.
+// Constants of the earliest time at which the platform sends SIGKILL after SIGTERM.
+// That time is the longest deadline, but at most maxCountedDeadline, plus killGracePeriod.
 const (
 	killGracePeriod    = 700 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
 )
 
-// hangDuration is the time before SIGKILL in which upstreams do not respond to a third of the requests. If it were longer, the balancer
-// would stop sending requests to them.
+// hangDuration is the time before SIGKILL in which upstreams do not respond to a third of the requests.
+// If it were longer, the balancer would stop sending requests to them.
 const hangDuration = 600 * time.Millisecond
 
 // lateClient is a client that connects before SIGTERM, and sends its request or the rest of it after SIGTERM.
@@ -126,8 +126,9 @@
 	echo(w, r)
 }
 
-// Guards against accepted requests that are lost at SIGKILL, as in the incident of 2026-12-02. Clients that connected before SIGTERM send
-// their request, or the rest of it, at any time up to the earliest SIGKILL, while upstreams stop responding.
+// Guards against accepted requests that are lost at SIGKILL, as in the incident of 2026-12-02.
+// Clients that connected before SIGTERM send their request, or the rest of it,
+// at any time up to the earliest SIGKILL, while upstreams stop responding.
 // Every accepted request gets its response, and the process exits before SIGKILL.
 func TestKilledAtTheEarliest(t *testing.T) {
 	for _, tt := range []killCase{
@@ -163,8 +164,8 @@
 	}))
 }
 
-// connect opens the connections of the clients and waits until the balancer has accepted them. Since it accepts connections in sequence,
-// that is the case once it responds on a later connection.
+// connect opens the connections of the clients and waits until the balancer has accepted them.
+// Since it accepts connections in sequence, that is the case once it responds on a later connection.
 func (k *killTest) connect(t *testing.T) {
 	const clients = 200
 	for i := range clients {
@@ -214,8 +215,9 @@
 	}
 }
 
-// check checks that no accepted request was lost. If the program exited by itself, a complete request without a response that no upstream
-// received was not accepted: it was sent while the balancer closed its connection.
+// check checks that no accepted request was lost.
+// If the program exited by itself, a complete request without a response that no upstream received was not accepted:
+// it was sent while the balancer closed its connection.
 func (k *killTest) check(t *testing.T) {
 	var lost []string
 	for _, c := range k.clients {
--- a/cmd/salttrack/signals.go
+++ b/cmd/salttrack/signals.go
@@ -14,10 +14,11 @@
 // maxQueuedSignals is the capacity of the queue of signals that do not shut down.
 const maxQueuedSignals = 8
 
-// handleSignals starts the goroutines that handle signals, which run until the process exits. SIGTERM and SIGINT start the shutdown,
-// SIGHUP reloads the configuration, SIGUSR1 logs the counters, and SIGUSR2 enables or disables the trace.
-// Handling a signal may block on a disk, the log or the event loop. Shutdowns and reloads have their own goroutines for that reason:
-// neither a reload nor any other signal delays a shutdown.
+// handleSignals starts the goroutines that handle signals, which run until the process exits.
+// SIGTERM and SIGINT start the shutdown, SIGHUP reloads the configuration,
+// SIGUSR1 logs the counters, and SIGUSR2 enables or disables the trace.
+// Handling a signal may block on a disk, the log or the event loop.
+// Therefore shutdowns, reloads and other signals are handled on separate goroutines, so that no signal delays a shutdown.
 func handleSignals(b *node.Node, l *loop.Loop, log *logrus.Entry) {
 	shutdown := make(chan os.Signal, 1)
 	signal.Notify(shutdown, unix.SIGTERM, unix.SIGINT)
@@ -42,9 +43,9 @@
 	}()
 }
 
-// handleShutdown starts the shutdown when a signal arrives; further signals have no effect. The shutdown counts from the time of the signal
-// or, if that is earlier, from the earliest time at which events of the loop's present turn may have arrived, since the loop handles these
-// events as if they had arrived then.
+// handleShutdown starts the shutdown when a signal arrives. Further signals have no effect.
+// The loop handles the events of its current turn as if they had arrived at the earliest possible time.
+// If that time is before the signal, the shutdown counts from it, and otherwise from the time of the signal.
 func handleShutdown(signals <-chan os.Signal, b *node.Node, l *loop.Loop) {
 	for range signals {
 		receivedAt := l.Now()
--- a/cmd/salttrack/streaming_test.go
+++ b/cmd/salttrack/streaming_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// serve is the handler of the upstreams. It responds to a GET with the long body, and to a POST with the length and checksum of the body
-// that it received.
+// serve is the handler of the upstreams.
+// It responds to a GET with the long body, and to a POST with the length and checksum of the body that it received.
 func (l *longBodyTest) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method == "GET" {
 		if strings.HasSuffix(r.URL.Path, "/sized") {
@@ -128,8 +128,8 @@
 	}
 }
 
-// abortingUpstream is an upstream that aborts its responses to GET requests after 1 MB. It counts the POST requests whose body it has
-// received completely.
+// abortingUpstream is an upstream that aborts its responses to GET requests after 1 MB.
+// It counts the POST requests whose body it has received completely.
 type abortingUpstream struct{ completeBodies atomic.Int64 }
 
 func (a *abortingUpstream) serve(w http.ResponseWriter, r *http.Request) {
@@ -173,8 +173,8 @@
 	}
 }
 
-// If the client aborts a streamed request, the upstream gets an error instead of a request that looks complete. The same holds if a chunk
-// of the request is malformed, and then the client gets the status 400.
+// If the client aborts a streamed request, the upstream gets an error instead of a request that looks complete.
+// The same holds if a chunk of the request is malformed, and then the client gets the status 400.
 func TestIncompleteRequest(t *testing.T) {
 	upstream := &abortingUpstream{}
 	e := newEnvironment(t, upstream.serve)
--- a/cmd/salttrack/trace_test.go
+++ b/cmd/salttrack/trace_test.go
@@ -37,8 +37,8 @@
 	return message
 }
 
-// The trace of a request has lines for its attempts, with their upstreams and outcomes, and for the response. SIGUSR2 disables the trace
-// while the program runs. The last line of the shutdown reports that no request is in flight.
+// The trace of a request has lines for its attempts, with their upstreams and outcomes, and for the response.
+// SIGUSR2 disables the trace while the program runs. The last line of the shutdown reports that no request is in flight.
 func TestTrace(t *testing.T) {
 	fails := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }
 	e := newEnvironment(t, fails, fails)
--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -11,12 +11,12 @@
 	"salttrack/internal/timer"
 )
 
-// Limits of one connection.
+// Limits of one connection. Times are in ms.
 const (
-	requestTimeout  balance.Millis = 10000 // until a request has to be complete
-	overrideTimeout balance.Millis = 6000  // until an override has to be done; longer than package node's timeout, whose error says more
-	writeTimeout    balance.Millis = 2000  // until the client has to have received the response
-	lingerTimeout   balance.Millis = 500   // until the client has to close the connection after the response
+	requestTimeout  balance.Millis = 10000 // time in which a request has to arrive completely
+	overrideTimeout balance.Millis = 6000  // time in which an override has to be done; longer than package node's timeout, whose error says more
+	writeTimeout    balance.Millis = 2000  // time in which the client has to accept the response
+	lingerTimeout   balance.Millis = 500   // time in which the client has to close the connection after the response
 
 	maxReadsPerEvent = 4
 )
@@ -28,8 +28,8 @@
 	receivingRequest connectionState = iota
 	awaitingOverride                 // the request is complete and its override is being stored; bytes from the client are discarded
 	sendingResponse
-	// lingering is the state after the response was written. Bytes from the client are discarded until it closes. To close the
-	// connection earlier could send a TCP reset, which can reach the client before the response.
+	// lingering is the state after the response was written. Bytes from the client are discarded until it closes the connection.
+	// If the server closed first, the kernel could send a TCP reset, which can reach the client before the response.
 	lingering
 	closed
 )
--- a/internal/admin/helpers_test.go
+++ b/internal/admin/helpers_test.go
@@ -20,8 +20,8 @@
 
 var errNoSpace = errors.New(`rename "x": no space left on device`)
 
-// fakeBalancer is a balancer that knows every upstream except "unlisted". An override of upstream "fails" fails, and one of "hangs" is
-// never done.
+// fakeBalancer is a balancer that knows every upstream except "unlisted".
+// An override of upstream "fails" fails, and one of "hangs" is never done.
 type fakeBalancer struct {
 	ready   bool
 	applied chan string // overrides that were applied, as "disable NAME" or "enable NAME"
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin is the HTTP/1.1 server for operators. It reports whether a balancer is ready, and disables and enables upstreams. It
-// runs on the balancer's event loop and uses descriptors that are reserved for it.
+// Package admin is the HTTP/1.1 server for operators. It reports whether a balancer is ready, and disables and enables upstreams.
+// It runs on the balancer's event loop and uses descriptors that are reserved for it.
 package admin
 
 import (
@@ -14,10 +14,10 @@
 	"salttrack/internal/loop"
 )
 
-// Limits of the server.
+// Limits of the server. Times are in ms, and sizes in bytes.
 const (
 	minIdleToShed balance.Millis = 30                // idle time before a connection may be shed; until then the rest of its request may arrive
-	acceptPause   balance.Millis = minIdleToShed / 4 // time without accepting while no connection can be accepted
+	acceptPause   balance.Millis = minIdleToShed / 4 // pause before accepting is tried again after it failed
 
 	maxAcceptsPerEvent = 64
 	readBufferSize     = 4 << 10
@@ -29,8 +29,9 @@
 	Ready() bool
 	// KnowsUpstream reports whether the named upstream is on the endpoint list, is disabled, or was recently removed from the list.
 	KnowsUpstream(name string) bool
-	// SetDisabled disables or enables an upstream. It calls done on the event loop, with nil once the override is in force and stored,
-	// or with an error. The server ignores further calls of done.
+	// SetDisabled disables or enables an upstream.
+	// It calls done on the event loop, with nil once the override is in force and stored, or with an error.
+	// The server ignores further calls of done.
 	SetDisabled(name string, disabled bool, done func(error))
 }
 
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -42,7 +42,7 @@
 	s.gauges = append(s.gauges, gauge{name, read})
 }
 
-// Value returns the value of the counter or gauge with a name. The result ok is false if there is none.
+// Value returns the value of the named counter or gauge. The result ok is false if there is none.
 func (s *Set) Value(name string) (value uint64, ok bool) {
 	for _, c := range s.counters {
 		if c.name == name {
--- a/internal/hotrestart/codec.go
+++ b/internal/hotrestart/codec.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// formatVersion is the version of the storage format. A stored record is a header line followed by the text, which is the Record in
-// JSON. The header has the format version, the length of the text in bytes and the XXH64 checksum of the text.
+// formatVersion is the version of the storage format. A stored record is a header line followed by the text, which is the Record in JSON.
+// The header has the format version, the length of the text in bytes and the XXH64 checksum of the text.
 const formatVersion = 1
 
 // Formats of the header line for fmt.Appendf and fmt.Sscanf.
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -32,8 +32,8 @@
 	files     FileSystem
 }
 
-// OpenDirectory opens the store of the named balancer, in a subdirectory of the parent directory. It creates and locks the lock file
-// of this process. Records are written through the given file system.
+// OpenDirectory opens the store of the named balancer, in a subdirectory of the parent directory.
+// It creates and locks the lock file of this process. Records are written through the given file system.
 func OpenDirectory(parent, balancer string, files FileSystem) (*Directory, error) {
 	hash := fnv.New64a()
 	hash.Write([]byte(balancer))
@@ -54,8 +54,9 @@
 	}, nil
 }
 
-// createLock creates and locks the lock file of a new process. The file gets its suffix after it is locked, so that no other process
-// sees it unlocked. The Name of the returned file is the one without the suffix.
+// createLock creates and locks the lock file of a new process.
+// The file gets its suffix after it is locked, so that no other process sees it unlocked.
+// The Name of the returned file is the one without the suffix.
 func createLock(directory string) (*os.File, error) {
 	lock, err := os.CreateTemp(directory, "p")
 	if err != nil {
@@ -72,7 +73,7 @@
 	return lock, nil
 }
 
-// file returns the path of the file of a process that has a suffix.
+// file returns the path of a process's file with the given suffix.
 func (d *Directory) file(process, suffix string) string {
 	return filepath.Join(d.path, process+suffix)
 }
@@ -115,8 +116,9 @@
 		if !isLock || process == d.process {
 			continue
 		}
-		// The lock has to be checked before the record is read. Then a process that publishes and exits in between counts as live, with
-		// its last record. In the other sequence it would count as exited, with an outdated record.
+		// The lock has to be checked before the record is read.
+		// Then a process that publishes and exits in between counts as live, with its last record.
+		// In the other sequence it would count as exited, with an outdated record.
 		exited := isUnlocked(d.file(process, lockSuffix))
 		r, err := d.readRecord(process)
 		if err != nil {
@@ -142,8 +144,8 @@
 	return unix.Flock(int(f.Fd()), unix.LOCK_SH|unix.LOCK_NB) == nil
 }
 
-// readRecord reads the record of another process. It returns the zero Record if there is none. Since records are read repeatedly, an
-// error is returned only once, until the error or the stored bytes change.
+// readRecord reads the record of another process. It returns the zero Record if there is none.
+// Since records are read repeatedly, an error is returned only once, until the error or the stored bytes change.
 func (d *Directory) readRecord(process string) (Record, error) {
 	var r Record
 	stored, err := readBounded(d.file(process, recordSuffix))
--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -73,8 +73,8 @@
 // StorageError reports a failed operation on the directory that holds the records.
 type StorageError struct{ Err error }
 
-// Error returns the message of the cause after a prefix. Operators' scripts read the prefix in responses of the admin server, so it must
-// not change.
+// Error returns the message of the cause after a prefix.
+// Operators' scripts read the prefix in responses of the admin server, so it must not change.
 func (e *StorageError) Error() string { return fmt.Sprintf("handover: %v", e.Err) }
 
 // Unwrap returns the cause.
--- a/internal/hotrestart/override_test.go
+++ b/internal/hotrestart/override_test.go
@@ -32,8 +32,8 @@
 	})
 }
 
-// A later override supersedes an earlier one even if the clock of its process is behind. This also holds if the first override is from an
-// older program and has only a time, but no version.
+// A later override supersedes an earlier one even if the clock of its process is behind.
+// This also holds if the first override is from an older program and has only a time, but no version.
 func TestVersionsWithSteppedClocks(t *testing.T) {
 	const hour = 3600e3
 	for _, clocks := range [][]float64{{1e12, 1e12 + hour, 1e12}, {1e12, 1e12 - hour, 1e12 + 5}, {1e12, 1e12, 1e12}} {
--- a/internal/hotrestart/record.go
+++ b/internal/hotrestart/record.go
@@ -8,7 +8,7 @@
 type Record struct {
 	Ready        bool                `json:"ready"` // whether the process accepts new requests
 	ShuttingDown bool                `json:"ending"`
-	Overrides    map[string]Override `json:"orders"` // by the name of the upstream
+	Overrides    map[string]Override `json:"orders"` // overrides by name of the upstream
 }
 
 // Clone returns a deep copy of the record.
--- a/internal/hotrestart/replace.go
+++ b/internal/hotrestart/replace.go
@@ -8,8 +8,9 @@
 // temporarySuffix is added to the name of a file while it is being written.
 const temporarySuffix = ".new"
 
-// replaceFile replaces a file atomically. The parameter old is its present content, nil if it does not exist. If the process is killed
-// at any point, the file has its old or its new content. If an error is returned, it has its old content, unless restoring that failed.
+// replaceFile replaces a file atomically. The parameter old is its present content, nil if it does not exist.
+// If the process is killed at any point, the file has its old or its new content.
+// If an error is returned, it has its old content, unless restoring that failed.
 func replaceFile(files FileSystem, path string, old, text []byte) error {
 	if err := writeAndRename(files, path, text); err != nil {
 		return err
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -36,8 +36,8 @@
 	return text
 }
 
-// Records that the program of commit 77548c0 has written are decoded, and encoding the same state gives the same bytes. So this program
-// and that one can read each other's records.
+// Records that the program of commit 77548c0 has written are decoded, and encoding the same state gives the same bytes.
+// So this program and that one can read each other's records.
 func TestStoredRecords(t *testing.T) {
 	for name, want := range storedRecords() {
 		stored := storedRecord(t, name)
--- a/internal/hotrestart/worker.go
+++ b/internal/hotrestart/worker.go
@@ -3,16 +3,16 @@
 // maxQueuedCalls is the capacity of a worker's queue. The user of a worker has at most one ReadPeers and one Publish in progress.
 const maxQueuedCalls = 8
 
-// Worker calls the methods of a Store on its own goroutine, one after the other, so that a slow disk does not block the event loop. It
-// passes the results to callbacks on the event loop. Its methods have to be called on the event loop.
+// Worker calls the methods of a Store on its own goroutine, one after the other, so that a slow disk does not block the event loop.
+// It passes the results to callbacks on the event loop. Its methods have to be called on the event loop.
 type Worker struct {
 	store Store
 	post  func(func())
 	calls chan func()
 }
 
-// NewWorker returns a worker for a store, and starts its goroutine, which runs until Close. The worker owns the store. The function post
-// runs a function on the event loop.
+// NewWorker returns a worker for a store, and starts its goroutine, which runs until Close. The worker owns the store.
+// The function post runs a function on the event loop.
 func NewWorker(store Store, post func(func())) *Worker {
 	w := &Worker{store: store, post: post, calls: make(chan func(), maxQueuedCalls)}
 	go w.run()
--- a/internal/logqueue/queue.go
+++ b/internal/logqueue/queue.go
@@ -1,6 +1,6 @@
-// Package logqueue provides a bounded queue of log lines, so that logging never blocks on a slow or failed output. Lines
-// that exceed the bounds are dropped and counted. As soon as the output accepts lines again, the number of dropped lines
-// is written to it.
+// Package logqueue provides a bounded queue of log lines, so that logging never blocks on a slow or failed output.
+// Lines that exceed the bounds are dropped and counted.
+// As soon as the output accepts lines again, the number of dropped lines is written to it.
 package logqueue
 
 import (
@@ -16,7 +16,7 @@
 	maxQueuedBytes = 256 << 10
 )
 
-// droppedFormat is the line that reports dropped lines to the output.
+// droppedFormat is the format of the log line that reports the number of dropped lines.
 const droppedFormat = "level=warning msg=\"log lines dropped, output too slow\" lines=%d\n"
 
 // Queue is a bounded queue of log lines for an output. Its methods are safe for concurrent use.
@@ -92,8 +92,8 @@
 	}
 }
 
-// next waits until a line is queued, and returns the line to write. If lines were dropped, it first returns a line that
-// reports their number.
+// next waits until a line is queued, and returns the line to write.
+// If lines were dropped, it first returns a line that reports their number.
 func (q *Queue) next() []byte {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/logqueue/queue_test.go
+++ b/internal/logqueue/queue_test.go
@@ -61,8 +61,8 @@
 	return next
 }
 
-// A blocked output does not block callers of Write. Lines that exceed the bounds are dropped, counted and reported, and
-// the other lines are written in order.
+// A blocked output does not block callers of Write.
+// Lines that exceed the bounds are dropped, counted and reported, and the other lines are written in order.
 func TestBlockedOutput(t *testing.T) {
 	o := &output{}
 	o.blocked.Lock()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// Load reads the configuration at the start of the program. The variable BALANCER_CONFIG names the file. The other
-// variables take precedence over the values of the file. The error is a *ConfigError, or wraps an *fs.PathError if the
-// file can't be read.
+// Load reads the configuration at the start of the program. The variable BALANCER_CONFIG names the file.
+// The other variables take precedence over the values of the file.
+// The error is a *ConfigError, or wraps an *fs.PathError if the file can't be read.
 func Load(env func(string) string) (*Config, error) {
 	config, err := readConfigFile(env, nameVariable, listenVariable, discoveryVariable, adminVariable)
 	if err != nil {
@@ -83,8 +83,9 @@
 	return config, nil
 }
 
-// Reload reads the configuration again while the program runs. It takes the address of discovery from the file and
-// ignores BALANCER_DISCOVERY, since the file is newer than the environment of the process.
+// Reload reads the configuration again while the program runs.
+// It takes the address of discovery from the file and ignores BALANCER_DISCOVERY,
+// since the file is newer than the environment of the process.
 func Reload(env func(string) string) (*Config, error) {
 	return readConfigFile(env, nameVariable, listenVariable, adminVariable)
 }
@@ -107,8 +108,8 @@
 	return parser.parse(text, overrides)
 }
 
-// Parse parses the text of a configuration. The overrides are values by environment variable. An override that is not
-// empty takes precedence over the value in the text. The error is a *ConfigError.
+// Parse parses the text of a configuration. The overrides are values by environment variable.
+// An override that is not empty takes precedence over the value in the text. The error is a *ConfigError.
 func Parse(text []byte, overrides map[string]string) (*Config, error) {
 	parser := configParser{}
 	return parser.parse(text, overrides)
--- a/internal/node/config_errors_test.go
+++ b/internal/node/config_errors_test.go
@@ -22,7 +22,7 @@
 	return path
 }
 
-// environment returns a lookup like os.Getenv.
+// environment returns a function like os.Getenv for the given variables.
 func environment(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
--- a/internal/node/config_parser.go
+++ b/internal/node/config_parser.go
@@ -31,7 +31,8 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// override replaces the values for which an environment variable is set. The key of the map is the variable's name.
+// override replaces the values of the file for which an environment variable is set.
+// The keys of overrides are names of environment variables.
 func (f *file) override(overrides map[string]string) {
 	for variable, field := range map[string]*string{
 		nameVariable:      &f.Name,
--- a/internal/node/config_reload.go
+++ b/internal/node/config_reload.go
@@ -7,8 +7,8 @@
 	"salttrack/internal/settings"
 )
 
-// verifyKeys returns a *ConfigError if this configuration lacks a key that the running one has. Without this check a
-// default would replace a value that was removed from the file by accident.
+// verifyKeys returns a *ConfigError if this configuration lacks a key that the running one has.
+// Without this check a default would replace a value that was removed from the file by accident.
 func (c *Config) verifyKeys(running *Config) error {
 	path := c.missingPath(running)
 	if path == "" {
@@ -50,8 +50,9 @@
 	return ""
 }
 
-// nextSettings returns the settings that replace the running ones. The settings that identify the instance do not change
-// before a restart: its number and tier, its zone and the names of the zones, and how it receives endpoint updates.
+// nextSettings returns the settings that replace the running ones.
+// The settings that identify the instance do not change before a restart: its number and tier,
+// its zone and the names of the zones, and how it receives endpoint updates.
 // The function inUse reports whether a request in progress uses a class number.
 func (c *Config) nextSettings(running settings.Settings, inUse func(class uint8) bool) (settings.Settings, error) {
 	next, err := c.Settings.WithClassNumbers(running, inUse)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -29,8 +29,8 @@
 	discovery *epolltest.Listener
 }
 
-// newBalancer returns a balancer that has not been started. Its cached endpoint list has the given endpoints,
-// which are JSON objects separated by commas.
+// newBalancer returns a balancer that has not been started.
+// Its cached endpoint list has the given endpoints, which are JSON objects separated by commas.
 func newBalancer(t *testing.T, cachedEndpoints string) *runningBalancer {
 	t.Helper()
 	r := &runningBalancer{Rig: epolltest.Start(t), discovery: epolltest.Listen(t)}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,7 @@
-// Package node assembles one balancer on one event loop: the downstream server for clients, the pool of connections to upstreams,
-// discovery, the driver of the balancing decisions, and the admin server. The caller chooses the kernel of the loop, which is that of
-// the operating system or a simulated one. The caller also triggers shutdowns, reloads and overrides, by signals or by a simulation.
+// Package node assembles one balancer on one event loop: the downstream server for clients,
+// the pool of connections to upstreams, discovery, the driver of the balancing decisions, and the admin server.
+// The caller chooses the kernel of the loop, which is that of the operating system or a simulated one.
+// The caller also triggers shutdowns, reloads and overrides, by signals or by a simulation.
 package node
 
 import (
@@ -20,8 +21,9 @@
 	"salttrack/internal/upstream"
 )
 
-// maxLoopWaitMs is the longest wait of the event loop for events, in ms. If the process gets no CPU during a wait, a request may have
-// arrived earlier than its recorded arrival time. This limit bounds the difference.
+// maxLoopWaitMs is the longest wait of the event loop for events, in ms.
+// If the process gets no CPU during a wait, a request may have arrived earlier than its recorded arrival time.
+// This limit bounds the difference.
 const maxLoopWaitMs = 25
 
 // Node is one balancer. Its methods have to be called on its event loop.
@@ -87,8 +89,9 @@
 	return n
 }
 
-// createDataPath creates the downstream server, the upstream pool and the driver between them. The server is created first, since
-// idle connections are closed in the order in which their owners were created, and those to upstreams should be closed last.
+// createDataPath creates the downstream server, the upstream pool and the driver between them.
+// The server is created before the pool. If descriptors are short, idle connections of the one created first are closed first,
+// and idle connections to upstreams should be kept longest.
 func (n *Node) createDataPath(r resources) {
 	n.server = downstream.NewServer(downstream.Options{
 		Loop:          n.loop,
@@ -124,7 +127,7 @@
 	n.server.SetRequestHandler(n.driver)
 }
 
-// registerCounters adds the counters and gauges that belong to no component.
+// registerCounters adds the counters and gauges of package node itself.
 func (n *Node) registerCounters() {
 	n.reloads = n.Counters.New("config_reloads")
 	n.failedReloads = n.Counters.New("config_reloads_failed")
--- a/internal/node/overrides.go
+++ b/internal/node/overrides.go
@@ -8,8 +8,9 @@
 	return known
 }
 
-// SetDisabled disables an upstream regardless of its state in the endpoint list, or enables it again. It calls done with nil once the
-// override is in force and, if hot restart is enabled, stored for the peer processes. Otherwise it calls done with the error.
+// SetDisabled disables an upstream regardless of its state in the endpoint list, or enables it again.
+// It calls done with nil once the override is in force and, if hot restart is enabled, stored for the peer processes.
+// Otherwise it calls done with the error.
 func (n *Node) SetDisabled(name string, disabled bool, done func(error)) {
 	if n.peers != nil {
 		n.peers.setOverride(name, disabled, done)
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -13,8 +13,9 @@
 	peerSyncTimeout  balance.Millis = 3000 // time that the start waits for the first read of the peers' records and their overrides
 )
 
-// peerSync exchanges state with the peer processes, which replace each other in hot restarts. It publishes the record of this process
-// and applies the records of the peers. It owns the worker, which calls the store on another goroutine than that of the event loop.
+// peerSync exchanges state with the peer processes, which replace each other in hot restarts.
+// It publishes the record of this process and applies the records of the peers.
+// It owns the worker, which calls the store on another goroutine than that of the event loop.
 type peerSync struct {
 	node           *Node
 	worker         *hotrestart.Worker
@@ -33,9 +34,9 @@
 	pending         []*pendingOverride // overrides that wait to be stored, the oldest first
 }
 
-// EnableHotRestart lets processes of the same balancer replace each other. They exchange records through a store, which the balancer
-// owns from then on. EnableHotRestart has to be called before Start. The balancer calls setMemoryShare whenever the share of the
-// configured memory limit that this process may use changes.
+// EnableHotRestart lets processes of the same balancer replace each other.
+// They exchange records through a store, which the balancer owns from then on. EnableHotRestart has to be called before Start.
+// The balancer calls setMemoryShare whenever the share of the configured memory limit that this process may use changes.
 func (n *Node) EnableHotRestart(store hotrestart.Store, setMemoryShare func(share float64)) {
 	n.peers = &peerSync{
 		node:           n,
@@ -82,7 +83,7 @@
 	p.publish()
 }
 
-// onOverride applies an override that was set in a peer process. An upstream that was enabled less than a slow start ago is warming up.
+// onOverride applies an override that was set in a peer process. An upstream that was enabled recently may still be warming up.
 // It is disabled and enabled here, so that its slow start also begins in a process that never saw it disabled.
 func (p *peerSync) onOverride(name string, o hotrestart.Override) {
 	p.unpublished = true
--- a/internal/node/peer_overrides.go
+++ b/internal/node/peer_overrides.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// onOverrideStored applies a pending override after its record was stored, and rejects it after an error. After an error the record
-// without the override is stored again, since the record with it may be on the disk.
+// onOverrideStored applies a pending override after its record was stored, and rejects it after an error.
+// After an error the record without the override is stored again, since the record with it may be on the disk.
 func (p *peerSync) onOverrideStored(o *pendingOverride, stored hotrestart.Override, err error) {
 	n := p.node
 	if err != nil {
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -6,9 +6,9 @@
 	"salttrack/balance"
 )
 
-// Time that the start waits for discovery. After it, the balancer serves clients with the cached endpoint list.
+// Times in ms that the start waits for discovery. After that, the balancer serves clients with the cached endpoint list.
 const (
-	syncTimeout              balance.Millis = 1500 // without the conditions below; enough for two requests if the first is not answered
+	syncTimeout              balance.Millis = 1500 // default; enough for two requests to discovery if the first one is not answered
 	inheritedListenerTimeout balance.Millis = 500  // with an inherited listening socket, on which clients may already be queued
 	livePeerTimeout          balance.Millis = 3000 // with a live peer process, which serves the clients meanwhile
 )
@@ -19,8 +19,8 @@
 // Ready reports whether the balancer accepts new requests.
 func (n *Node) Ready() bool { return n.listening && n.synced() && !n.shuttingDown }
 
-// synced reports whether the state that serving requires is known: the overrides in force, and the endpoint list. If discovery does not
-// answer in time, a cached endpoint list that is not empty suffices.
+// synced reports whether the state that serving requires is known: the overrides in force, and the endpoint list.
+// If discovery does not answer in time, a cached endpoint list that is not empty suffices.
 func (n *Node) synced() bool {
 	if n.peers != nil && n.peers.blocksStart() {
 		return false
@@ -42,9 +42,9 @@
 	return syncTimeout
 }
 
-// listenWhenSynced listens for clients once the balancer is synced. The cached endpoint list may be outdated, while the discovery
-// service assumes that a new process knows from its start which endpoints are draining. Without the wait, requests could go to
-// endpoints that are draining.
+// listenWhenSynced listens for clients once the balancer is synced.
+// The discovery service assumes that a process knows from its start which endpoints are draining.
+// Since the cached endpoint list may be outdated, requests could go to draining endpoints without this wait.
 func (n *Node) listenWhenSynced() {
 	switch {
 	case n.listening || n.shuttingDown:
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -7,9 +7,9 @@
 	"salttrack/internal/settings"
 )
 
-// ApplyReload applies a reloaded configuration, or logs the error of reading it. The new settings apply to requests that arrive from
-// now on, and the watch moves to a new address of discovery. An invalid configuration changes nothing.
-// A reload is harmless if the configuration is unchanged, and during a shutdown.
+// ApplyReload applies a reloaded configuration, or logs the error of reading it.
+// The new settings apply to requests that arrive from now on, and the watch moves to a new address of discovery.
+// An invalid configuration changes nothing. A reload is harmless if the configuration is unchanged, and during a shutdown.
 func (n *Node) ApplyReload(next *Config, err error) {
 	var merged settings.Settings
 	if err == nil {
--- a/internal/node/resources.go
+++ b/internal/node/resources.go
@@ -11,7 +11,8 @@
 	bodyBufferShare        = 0.125 // share of the memory that is used for buffers of streamed bodies
 )
 
-// The overflow connections and the admin server each get at most the configured number of descriptors divided by one of these.
+// Divisors of the configured number of descriptors.
+// Each quotient is an upper limit: one for the overflow connections, and one for the descriptors of the admin server.
 const (
 	overflowDivisor = 16
 	adminDivisor    = 8
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -11,8 +11,8 @@
 // rejectedInShutdownCounter is the counter of requests that the downstream server rejects since they arrive too late in a shutdown.
 const rejectedInShutdownCounter = "client_shutdown_rejected"
 
-// Shutdown starts a graceful shutdown. The schedule counts from the time of the signal, signalledAt. Shutdown calls done when no request
-// is in flight any more, at the latest at the end of the schedule. Further calls have no effect.
+// Shutdown starts a graceful shutdown. The schedule counts from the time of the signal, signalledAt.
+// Shutdown calls done when no request is in flight any more, at the latest at the end of the schedule. Further calls have no effect.
 func (n *Node) Shutdown(signalledAt balance.Millis, done func()) {
 	if n.shuttingDown {
 		return
--- a/internal/shutdown/schedule.go
+++ b/internal/shutdown/schedule.go
@@ -1,12 +1,12 @@
-// Package shutdown computes the schedule of a graceful shutdown from the time of the signal and the longest deadline. The schedule has the
-// times at which the process stops accepting connections, rejects new requests, has written all responses, and exits.
+// Package shutdown computes the schedule of a graceful shutdown from the time of the signal and the longest deadline.
+// The schedule has the times at which the process stops accepting connections, rejects new requests, has written all responses, and exits.
 // The package does no I/O and reads no clock.
 package shutdown
 
 import "salttrack/balance"
 
-// Terms of the time between SIGTERM and the earliest SIGKILL of the platform, in ms. That time is the longest deadline, but at most
-// maxCountedDeadline, plus killGracePeriod.
+// Constants of the earliest time at which the platform sends SIGKILL after SIGTERM, in ms.
+// That time is the longest deadline, but at most maxCountedDeadline, plus killGracePeriod.
 const (
 	maxCountedDeadline balance.Millis = 3000
 	killGracePeriod    balance.Millis = 700
@@ -14,8 +14,8 @@
 
 // Safety margins before SIGKILL, in ms.
 const (
-	// maxStall is the longest time that the process may get no CPU between reading its clock and acting on the result. Two stalls
-	// are possible: one when the signal arrives, whose recorded time is late then, and one when the last response is written.
+	// maxStall is the longest time that the process may get no CPU between reading its clock and acting on the result.
+	// Two stalls are possible: one when the signal arrives, whose recorded time is late then, and one when the last response is written.
 	maxStall balance.Millis = 150
 	// writeAllowance is the time for writing the last bytes and for the exit of the process.
 	writeAllowance balance.Millis = 50
@@ -23,9 +23,9 @@
 
 // Preferred durations within the schedule, in ms. They are shortened if SIGKILL may come earlier.
 const (
-	closeIdleDelay balance.Millis = 500 // from the signal until idle connections are closed, since clients may still reuse them
-	acceptDuration balance.Millis = 650 // from the signal; clients connect for 400 ms, and the rest is for connections in the kernel's queue
-	minServiceTime balance.Millis = 50  // minimum time until the last response; a request with less time is rejected
+	closeIdleDelay balance.Millis = 500 // time from the signal until idle connections are closed; clients may reuse them until then
+	acceptDuration balance.Millis = 650 // time from the signal in which connections are accepted; clients connect for 400 ms, the rest is for the kernel's queue
+	minServiceTime balance.Millis = 50  // a request that arrives less than this time before RespondBy is rejected
 )
 
 // Phase is a phase of the shutdown.
@@ -84,8 +84,8 @@
 // Started reports whether a shutdown has started.
 func (s Schedule) Started() bool { return s.started }
 
-// Shortened returns the schedule after a reload that changes the longest deadline. The platform may compute the time of SIGKILL from the
-// old or the new settings, so the shorter deadline applies.
+// Shortened returns the schedule after a reload that changes the longest deadline.
+// The platform may compute the time of SIGKILL from the old or the new settings, so the shorter deadline applies.
 func (s Schedule) Shortened(longestDeadline balance.Millis) Schedule {
 	return New(s.SignalledAt, min(s.longestDeadline, longestDeadline))
 }
--- a/internal/shutdown/schedule_test.go
+++ b/internal/shutdown/schedule_test.go
@@ -12,7 +12,7 @@
 type scenario struct {
 	longestDeadline balance.Millis
 	sentAt          balance.Millis // time at which the platform sent the signal
-	recordDelay     balance.Millis // time from there until the process recorded the signal
+	recordDelay     balance.Millis // time between the sending and the recording of the signal
 }
 
 func drawScenario(t *rapid.T) scenario {
@@ -31,8 +31,8 @@
 	return s.sentAt + min(3000, longestDeadline) + 700
 }
 
-// The times of the schedule are in sequence, and the process exits before SIGKILL even if it stalls twice for 150 ms: when the signal
-// arrives, and between the last reading of the clock and the exit.
+// The times of the schedule are in sequence, and the process exits before SIGKILL even if it stalls twice for 150 ms:
+// when the signal arrives, and between the last reading of the clock and the exit.
 func TestExitsBeforeKill(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scenario := drawScenario(t)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,6 +1,7 @@
-// Package trace writes one structured log line for each event of a request or a connection, for example an attempt
-// that was sent or a connection that was closed. Tracing is disabled at the start and can be enabled at run time. The
-// rate of lines is limited, and suppressed lines are counted. All methods have to be called on the event loop.
+// Package trace writes one structured log line for each event of a request or a connection,
+// for example an attempt that was sent or a connection that was closed.
+// Tracing is disabled at the start and can be enabled at run time.
+// The rate of lines is limited, and suppressed lines are counted. All methods have to be called on the event loop.
 package trace
 
 import (
@@ -101,8 +102,8 @@
 	t.log.WithField(suppressedField, t.suppressed.Value()).Info(message)
 }
 
-// Enabled reports whether events are written. Callers check it before they build an Event, so that a disabled trace
-// costs nothing.
+// Enabled reports whether events are written.
+// Callers check it before they build an Event, so that a disabled trace costs nothing.
 func (t *Tracer) Enabled() bool { return t != nil && t.enabled }
 
 // Write writes an event, unless the rate limit suppresses it.
