--- a/cmd/salttrack/connections_test.go
+++ b/cmd/salttrack/connections_test.go
@@ -105,7 +105,7 @@
 		return
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(waitTimeout))
 	reader := bufio.NewReader(conn)
 	for n := range 3 {
 		fmt.Fprintf(conn, "POST /pay HTTP/1.1\r\nX-Txn: %d-%d\r\nX-Lane: pay\r\nX-Remaining: 0.5\r\nContent-Length: 60000\r\n\r\n%s",
--- a/cmd/salttrack/drain_test.go
+++ b/cmd/salttrack/drain_test.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return false
 	}
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(waitTimeout))
 	c.conn, c.reader = conn, bufio.NewReader(conn)
 	c.used = false
 	return true
--- a/cmd/salttrack/helpers_program_test.go
+++ b/cmd/salttrack/helpers_program_test.go
@@ -105,15 +105,15 @@
 // waitFor waits until a condition is true. The event describes the condition in the error of a timeout.
 func (p *program) waitFor(event string, isTrue func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); !isTrue(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !isTrue(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("timed out after %v waiting for %s; log:\n%s", patience, event, p.log)
+			p.t.Fatalf("timed out after %v waiting for %s; log:\n%s", waitTimeout, event, p.log)
 		}
 	}
 }
 
 // boundedClient is an HTTP client with a timeout, for programs that do not respond.
-var boundedClient = &http.Client{Timeout: patience}
+var boundedClient = &http.Client{Timeout: waitTimeout}
 
 // request is a request of a client.
 type request struct {
@@ -222,8 +222,8 @@
 		if err != nil {
 			p.t.Errorf("the program exited with %v; log:\n%s", err, p.log)
 		}
-	case <-time.After(patience):
-		p.t.Fatalf("the program did not exit within %v; log:\n%s", patience, p.log)
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("the program did not exit within %v; log:\n%s", waitTimeout, p.log)
 	}
 }
 
@@ -293,8 +293,8 @@
 	return f, l.Addr().String()
 }
 
-// inheriting makes a program inherit a listening socket, and use a directory for its hot restart records.
-func inheriting(listener *os.File, directory string) startOption {
+// withInheritedListener makes a program inherit a listening socket, and use a directory for its hot restart records.
+func withInheritedListener(listener *os.File, directory string) startOption {
 	return func(c *exec.Cmd) {
 		c.ExtraFiles = []*os.File{listener}
 		c.Env = append(c.Env, "BALANCER_LISTEN_FD=3", "TMPDIR="+directory)
--- a/cmd/salttrack/helpers_test.go
+++ b/cmd/salttrack/helpers_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// patience is the timeout of each wait in a test.
-const patience = 20 * time.Second
+// waitTimeout is the timeout of each wait in a test.
+const waitTimeout = 20 * time.Second
 
 // programVariable is the environment variable that makes the test binary run the program instead of the tests.
 const programVariable = "SALTTRACK_TEST_AS_PROGRAM"
--- a/cmd/salttrack/hot_restart_test.go
+++ b/cmd/salttrack/hot_restart_test.go
@@ -43,7 +43,7 @@
 		config["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 512}
 		settingsOf(config)["invariants"].(map[string]any)["cold_ms"] = 200
 	})
-	p := &process{program: start(h.t, path, inheriting(h.listener, h.directory)), admin: admin}
+	p := &process{program: start(h.t, path, withInheritedListener(h.listener, h.directory)), admin: admin}
 	p.waitFor("status 200 of the admin server", func() bool { return adminCall(admin, "ready") == 200 })
 	for i := range 240 {
 		conn, err := net.Dial("tcp", []string{admin, p.address}[i/200])
@@ -85,8 +85,8 @@
 	}
 }
 
-// replace replaces a process by the next one, and returns that.
-// It checks that an override which is set in either of them comes into force in the other.
+// replace starts a new process, terminates the old one, and returns the new one.
+// It checks that an override which is set in either process comes into force in the other.
 func (h *hotRestartTest) replace(old *process) *process {
 	h.t.Helper()
 	next := h.startProcess()
--- a/cmd/salttrack/override_test.go
+++ b/cmd/salttrack/override_test.go
@@ -30,7 +30,7 @@
 		config["listen"] = address
 		settingsOf(config)["invariants"].(map[string]any)["cold_ms"] = 1 // short slow start, so that an enabled upstream gets requests at once
 	})
-	p := start(t, path, append(options, inheriting(listener, parent))...)
+	p := start(t, path, append(options, withInheritedListener(listener, parent))...)
 	locks, err := filepath.Glob(filepath.Join(parent, "*", "*.lock"))
 	if err != nil || len(locks) != 1 {
 		t.Fatalf("locks %v, %v", locks, err)
--- a/cmd/salttrack/reload_test.go
+++ b/cmd/salttrack/reload_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Beginnings of the log messages about a reload.
+// Prefixes of the log messages about a reload.
 const (
 	reloadedMessage     = "configuration reloaded"
 	reloadFailedMessage = "configuration reload failed"
@@ -27,8 +27,8 @@
 	failed        int          // number of reloads that have to have failed
 }
 
-// startReloadTest starts a program with the discovery service of the first environment,
-// which is also set in the program's variable BALANCER_DISCOVERY.
+// startReloadTest starts a program with the discovery service of the first environment.
+// The program's variable BALANCER_DISCOVERY has the same address.
 func startReloadTest(t *testing.T) *reloadTest {
 	t.Helper()
 	r := &reloadTest{first: newEnvironment(t, echo), second: newEnvironment(t, echo)}
--- a/cmd/salttrack/shutdown_test.go
+++ b/cmd/salttrack/shutdown_test.go
@@ -93,7 +93,7 @@
 	return f.ids[id]
 }
 
-// killCase is a case of TestKilledAtTheEarliest.
+// killCase is a case of TestRespondsBeforeEarliestKill.
 type killCase struct {
 	longestDeadline time.Duration
 	reload          bool          // whether the configuration is reloaded together with SIGTERM
@@ -130,7 +130,7 @@
 // Clients that connected before SIGTERM send their request, or the rest of it,
 // at any time up to the earliest SIGKILL, while upstreams stop responding.
 // Every accepted request gets its response, and the process exits before SIGKILL.
-func TestKilledAtTheEarliest(t *testing.T) {
+func TestRespondsBeforeEarliestKill(t *testing.T) {
 	for _, tt := range []killCase{
 		{longestDeadline: 20 * time.Millisecond},
 		{longestDeadline: 200 * time.Millisecond},
@@ -165,7 +165,7 @@
 }
 
 // connect opens the connections of the clients and waits until the balancer has accepted them.
-// Since it accepts connections in sequence, that is the case once it responds on a later connection.
+// The balancer accepts connections in sequence, so it has accepted them once it responds on a later connection.
 func (k *killTest) connect(t *testing.T) {
 	const clients = 200
 	for i := range clients {
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -19,7 +19,7 @@
 	return d
 }
 
-// expectPeers checks the records of the other processes that a process reads, and the number of errors.
+// expectPeers checks which records of other processes a process reads, and how many of them are unreadable.
 func expectPeers(t *testing.T, what string, d *Directory, live, exited []Record, unreadable int) {
 	t.Helper()
 	peers, err := d.Peers()
--- a/internal/node/listening.go
+++ b/internal/node/listening.go
@@ -27,7 +27,7 @@
 
 // listenOnce makes one attempt to listen, and sets the timer of the next one if it fails. A shutdown ends the attempts.
 // After listenTimeout a process that does not listen for clients stops with an error.
-// One that only lacks its admin server goes on retrying.
+// A process that only lacks its admin server continues to retry.
 func (r *listenRetry) listenOnce() {
 	n := r.node
 	if n.shuttingDown {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,9 +21,8 @@
 	"salttrack/internal/upstream"
 )
 
-// maxLoopWaitMs is the longest wait of the event loop for events, in ms.
-// If the process gets no CPU during a wait, a request may have arrived earlier than its recorded arrival time.
-// This limit bounds the difference.
+// maxLoopWaitMs is the longest wait of the event loop for events, in ms. If the process gets no CPU during a wait,
+// a request may have arrived up to this much earlier than its recorded arrival time.
 const maxLoopWaitMs = 25
 
 // Node is one balancer. Its methods have to be called on its event loop.
