--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -5,23 +5,23 @@
 	"os"
 )
 
-// Files are the calls by which records are written. Tests replace them, to fail or to stop at any call.
-type Files interface {
-	// Write writes a complete file, and returns once it is on stable storage.
+// FileSystem is the file system on which records are written. Tests replace it to make calls fail or to simulate a kill at any call.
+type FileSystem interface {
+	// Write creates or overwrites a file, and returns once its content is on stable storage.
 	Write(path string, text []byte) error
-	// Rename renames a file, in place of the one that has the name.
+	// Rename renames a file. It replaces an existing file of the new name.
 	Rename(from, to string) error
-	// Sync returns once the names in a directory are on stable storage.
+	// Sync returns once the entries of a directory are on stable storage.
 	Sync(directory string) error
 	// Remove removes a file.
 	Remove(path string) error
 }
 
-// SystemFiles are the calls of the operating system.
-type SystemFiles struct{}
+// OSFileSystem is the file system of the operating system.
+type OSFileSystem struct{}
 
 // Write writes and syncs a file.
-func (SystemFiles) Write(path string, text []byte) error {
+func (OSFileSystem) Write(path string, text []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
@@ -34,10 +34,10 @@
 }
 
 // Rename renames a file.
-func (SystemFiles) Rename(from, to string) error { return os.Rename(from, to) }
+func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Sync syncs a directory.
-func (SystemFiles) Sync(directory string) error {
+func (OSFileSystem) Sync(directory string) error {
 	f, err := os.Open(directory)
 	if err != nil {
 		return err
@@ -46,4 +46,4 @@
 }
 
 // Remove removes a file.
-func (SystemFiles) Remove(path string) error { return os.Remove(path) }
+func (OSFileSystem) Remove(path string) error { return os.Remove(path) }
