--- a/balance/actions.go
+++ b/balance/actions.go
@@ -11,8 +11,7 @@
 	Timeout  Millis // timeout of the attempt; 0 if it may take until the client gives up
 }
 
-// RejectRequest gives a request its final response: it was not served,
-// and the client may safely send it again.
+// RejectRequest gives a request its final response: it was not served, and it is safe to send it again.
 type RejectRequest struct {
 	Request    RequestID
 	RetryAfter Millis // delay after which the client should send the request again; 0 for no advice
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -162,9 +162,9 @@
 	b.admitQueued()
 }
 
-// OnBodyComplete handles the arrival of the last byte of a request that was reported with an incomplete body.
-// The time of the request and of its attempts starts now, because the upstream starts to process the request
-// when it has received that byte. The client gives up after expiresIn.
+// OnBodyComplete handles the last byte of a request that arrived with an incomplete body.
+// The upstream starts to process the request at that byte, so the time of the request
+// and its attempts starts now. The client gives up after expiresIn.
 func (b *Balancer) OnBodyComplete(now Millis, id RequestID, expiresIn Millis) {
 	b.advance(now)
 	if r := b.requests.byID[id]; r != nil && r.bodyIncomplete && !r.concluded {
@@ -277,8 +277,8 @@
 	}
 }
 
-// updateUpstreamSets recomputes the state that is derived from the upstreams: the capacity of each zone
-// class, and the subset of its upstreams that this instance uses.
+// updateUpstreamSets recomputes the state that is derived from the upstreams.
+// For each zone class, this is its capacity and the subset of its upstreams that this instance uses.
 func (b *Balancer) updateUpstreamSets() {
 	b.updateZoneCapacity()
 	b.selectSubsets()
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// serveRequest reports the arrival of a request and the success of its first attempt,
-// and every tenth time a tick.
+// serveRequest reports a request and the success of its attempt and, after every tenth request, a tick.
 func serveRequest(b *Balancer, id RequestID, now *Millis) {
 	*now += 10
 	b.OnRequest(*now, &RequestArrived{Request: id, Class: uint8(id % 2), ExpiresIn: 2000})
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -1,7 +1,6 @@
 package balance
 
-// Endpoints: the upstreams as reported by discovery, and the overrides
-// by which operators disable and enable them.
+// Endpoints: the upstreams as reported by discovery, and the overrides of operators.
 
 import (
 	"cmp"
@@ -84,8 +83,7 @@
 	slices.SortFunc(t.ordered, func(x, y *upstream) int { return cmp.Compare(x.sortKey, y.sortKey) })
 }
 
-// available reports whether any attempts may be sent to an upstream: it is ready
-// and operators have not disabled it.
+// available reports whether attempts may be sent to an upstream: it is ready and not disabled by operators.
 func (b *Balancer) available(u *upstream) bool {
 	_, disabled := b.endpoints.disabledSince[u.ID]
 	return u.State == Ready && !disabled
@@ -149,8 +147,7 @@
 
 // enable allows attempts to a disabled upstream again.
 // The upstream was restarted in the meantime and therefore warms up.
-// Its start time is the one that the endpoint list has reported since the upstream was disabled or,
-// if there is none, the present time.
+// Its start time is the one that the endpoint list reported while it was disabled, or else the present time.
 func (b *Balancer) enable(id UpstreamID) {
 	since, disabled := b.endpoints.disabledSince[id]
 	if !disabled {
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,8 +6,7 @@
 	"salttrack/balance"
 )
 
-// The host in this example reports a request and the end of its first attempt,
-// and prints the resulting actions.
+// The host in this example reports a request and the end of its first attempt, and prints the actions.
 func Example() {
 	b := balance.New(balance.Config{
 		Replicas:          1,
--- a/balance/limiter.go
+++ b/balance/limiter.go
@@ -70,8 +70,8 @@
 }
 
 // updateLimit adjusts the limit of a zone class by the latency ratio of one of its attempts.
-// The step is divided by the number of warm upstreams, so that all attempts of one round trip together change
-// the limit by a bounded fraction.
+// The step is divided by the number of warm upstreams.
+// All attempts of one round trip together thus change the limit by a bounded fraction.
 func (b *Balancer) updateLimit(z *zoneClass, ratio float64) {
 	b.limiter.record(ratio)
 	step := limitGain * (b.limiter.targetRatio() - ratio) / max(1, z.warmEquivalents)
--- a/balance/limiter_test.go
+++ b/balance/limiter_test.go
@@ -38,8 +38,7 @@
 	}
 }
 
-// TestErrorsWithFastResponses checks that errors lower the limit to nearly 0 only
-// if the successful responses are slow.
+// TestErrorsWithFastResponses checks that errors lower the limit to nearly 0 only if responses are slow.
 func TestErrorsWithFastResponses(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
@@ -70,8 +69,7 @@
 	}
 }
 
-// TestFractionalCapacity checks that a limit that is not a whole number
-// is the average number of attempts allowed.
+// TestFractionalCapacity checks that a fractional limit is the average number of attempts allowed.
 func TestFractionalCapacity(t *testing.T) {
 	for _, tt := range []struct{ limit, want float64 }{{0, minCapacity}, {0.3, 0.3}, {1.6, 1.6}, {7, 7}} {
 		const n = 4000
@@ -108,8 +106,8 @@
 	}
 }
 
-// TestHighWeightPrecedesLow checks that a request of low weight in flight does not make one of high weight
-// wait, even if there is capacity for only one attempt.
+// TestHighWeightPrecedesLow checks that a request of high weight does not wait for one of low weight
+// in flight, even if there is capacity for only one attempt.
 func TestHighWeightPrecedesLow(t *testing.T) {
 	b := New(testConfig(), 1, 0)
 	b.updateEndpoints(EndpointUpdate{Endpoints: testEndpoints(8), Snapshot: true})
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestUnresponsiveBeforeTimeout checks that an upstream that does not respond is detected by its oldest
-// attempt in flight, before any attempt there has ended.
+// TestUnresponsiveBeforeTimeout checks that an upstream that does not respond is detected early:
+// by its oldest attempt in flight, before any attempt there has ended.
 func TestUnresponsiveBeforeTimeout(t *testing.T) {
 	f := newWarmHost(t, testConfig(), 8)
 	hung := f.b.endpoints.ordered[0]
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestFailuresThatEject checks how many consecutive failures eject an upstream: more connection resets
-// than errors, and fewer failed connects.
+// TestFailuresThatEject checks how many failures in a row eject an upstream.
+// It takes more connection resets than errors, and fewer failed connects.
 func TestFailuresThatEject(t *testing.T) {
 	for _, tt := range []struct {
 		outcome Outcome
--- a/balance/request.go
+++ b/balance/request.go
@@ -133,8 +133,8 @@
 	b.zoneOf(a.upstream).addInFlight(r.class, -1)
 }
 
-// endAttempt records the end of an attempt. If its request has neither a final response nor another attempt
-// in flight, the request is retried or given up.
+// endAttempt records the end of an attempt.
+// The request is retried or given up if it has no final response and no other attempt in flight.
 func (b *Balancer) endAttempt(r *request, a *attempt, e *AttemptEnded) {
 	wasConcluded := r.concluded
 	recordedAtStart := !a.countsAsLoad && wasConcluded && e.Outcome == OK // by startStreaming
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// sendUnknownEvents reports events of requests, timers and endpoints that the instance
-// does not know and has to ignore.
+// sendUnknownEvents reports requests, timers and endpoints that the instance does not know.
+// The instance has to ignore them.
 func (f *fakeHost) sendUnknownEvents() {
 	f.b.OnAttemptEnded(f.now, &AttemptEnded{Request: f.nextID + 1000, Outcome: OK, RequestDone: true})
 	f.carryOut()
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -13,8 +13,7 @@
 type upstreamFilter func(*Balancer, *upstream) bool
 
 // selectUpstream returns the upstream for the next attempt of a request, or nil if there is none.
-// If no upstream is usable, it selects among all that are available, because the upstreams are not the cause
-// when all of them seem to fail.
+// If none is usable, it selects among all available ones: if all seem to fail, the cause is elsewhere.
 func (b *Balancer) selectUpstream(r *request) *upstream {
 	if u := b.probeReenabled(r); u != nil {
 		return u
@@ -33,8 +32,8 @@
 	return nil
 }
 
-// probeReenabled returns an upstream that operators have enabled again and that has not got a request since,
-// or nil if there is none. Selected by load alone, the upstream would get no request until it is warm.
+// probeReenabled returns an upstream that was enabled again and has got no request since, or nil.
+// Selected by load alone, such an upstream would get no request until it is warm.
 func (b *Balancer) probeReenabled(r *request) *upstream {
 	for i := range b.endpoints.reenabled {
 		e := &b.endpoints.reenabled[i]
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -87,8 +87,7 @@
 	}
 }
 
-// TestSubsetSize checks that the subset of an instance has as many upstreams as the instance has attempts
-// in flight, but at least minSubset.
+// TestSubsetSize checks that a subset has one upstream for each attempt in flight, but at least minSubset.
 func TestSubsetSize(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -50,9 +50,9 @@
 	return u.slowStartTokens >= 1 || b.warmFraction(u) == 1
 }
 
-// refillSlowStart measures the rate of attempts at warm upstreams and refills the slow start tokens
-// at that rate, up to one token per upstream. The rate is at least one attempt per OverloadDuration over all
-// replicas, so that it is not 0 without any measurement.
+// refillSlowStart refills the slow start token of each upstream, which is at most one.
+// The rate is the warm fraction of the rate of attempts at warm upstreams.
+// That rate counts as at least one attempt per OverloadDuration over all replicas, even if none was measured.
 func (b *Balancer) refillSlowStart(elapsed Millis) {
 	b.measureWarmRate(elapsed)
 	rate := max(b.slowStart.warmRate, 1/(max(1, b.settings.OverloadDuration)*b.replicas()))
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// selectSubset selects consecutive upstreams from the ring of a zone class, from startFraction of the ring
-// on, until the sum of their warm fractions reaches target.
+// selectSubset selects consecutive upstreams from the ring of a zone class, starting at startFraction of it.
+// It stops when the sum of their warm fractions reaches target.
 // Upstreams that are ejected, draining or warming up are thus compensated by additional ones.
 func (b *Balancer) selectSubset(zone int, target, startFraction float64) {
 	ring := b.subset.rings[zone]
--- a/balance/throttle.go
+++ b/balance/throttle.go
@@ -14,8 +14,8 @@
 )
 
 // throttled reports whether to reject a new request.
-// The formula gives the total number of requests to reject. Requests of the lowest weights are rejected
-// first: the probability of a rejection is inversely proportional to the square of the weight.
+// The formula gives the total number of requests to reject.
+// The probability of a rejection is proportional to 1 / (weight * weight), so low weights are rejected first.
 func (b *Balancer) throttled(r *request) bool {
 	if b.window.total.requests < minRequests || b.underutilized() {
 		return false
@@ -38,10 +38,9 @@
 	return (total.requests - multiplier*total.accepts) * total.requests / (total.requests + 1)
 }
 
-// rejectionFactor returns the factor for which the rejected requests of all classes add
-// up to the given volume. A request is rejected with the probability factor / (weight * weight), at most 1.
-// Each iteration raises the factor: a class that is rejected completely leaves the rest
-// of the volume to the others.
+// rejectionFactor returns the factor at which the rejections of all classes add up to the given volume.
+// A request is rejected with the probability factor / (weight * weight), at most 1.
+// Each iteration raises the factor, since a class that is rejected completely leaves volume to the others.
 func (b *Balancer) rejectionFactor(volume float64) float64 {
 	factor := 0.0
 	for range b.window.byClass {
--- a/balance/window.go
+++ b/balance/window.go
@@ -58,8 +58,8 @@
 	return true
 }
 
-// staysOpen reports whether the current bucket stays open because the window without its oldest
-// bucket would hold too few requests.
+// staysOpen reports whether the current bucket stays open.
+// It does if the window without the oldest bucket has too few requests.
 // Otherwise an instance with little traffic would never have enough requests for the formula.
 func (w *acceptWindow) staysOpen(oldest int) bool {
 	remaining := w.total.requests
