--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -52,7 +52,7 @@
 
 // refillSlowStart refills the slow start token of each upstream, which is at most one.
 // The rate is the warm fraction of the rate of attempts at warm upstreams.
-// Without a measured rate, all replicas together send one attempt per OverloadDuration.
+// That rate counts as at least one attempt per OverloadDuration over all replicas, even if none was measured.
 func (b *Balancer) refillSlowStart(elapsed Millis) {
 	b.measureWarmRate(elapsed)
 	rate := max(b.slowStart.warmRate, 1/(max(1, b.settings.OverloadDuration)*b.replicas()))
