--- a/internal/discovery/clock.go
+++ b/internal/discovery/clock.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	maxClockDrift     = 20.0     // ms by which the two clocks may drift apart without a step of the wall clock
-	maxClockOffsets   = 8        // offsets that are kept
-	clockOffsetMaxAge = 120000.0 // ms that an update may lag behind a start: longer than any slow start
+	maxClockDrift     = 20.0     // ms; a larger change of the offset between the two clocks is a step of the wall clock
+	maxClockOffsets   = 8        // number of offsets that are kept
+	clockOffsetMaxAge = 120000.0 // ms; longest delay of the report of a start that is handled, longer than any slow start
 )
 
-// startClock converts the times at which upstreams started. The discovery service reports them by the wall clock, which
-// may be stepped; the balancer's clock is monotonic. The service may have recorded a start before a step and report it
-// after, so of all recent offsets that are possible the one with the latest start is used: an upstream that is taken
-// for colder than it is gets less load for a while, one taken for warmer is overloaded.
-type startClock struct {
-	now     balance.Millis
-	offsets []clockOffset // oldest first, the present one last
+// startTimeConverter converts the start times of upstreams from the wall clock, by which the discovery service reports
+// them, to the balancer's clock. The wall clock may be stepped; the balancer's clock is monotonic. The service may
+// record a start before a step and report it after the step, so the offset to use is not known. The converter tries all
+// recent offsets and uses the latest start that is not in the future. An upstream whose start is taken for too late
+// gets less load for a while. One whose start is taken for too early would get too much load while it is warming up.
+type startTimeConverter struct {
+	now     balance.Millis // the balancer's clock when it was last observed
+	offsets []clockOffset  // oldest first, the current one last
 }
 
-// clockOffset is an offset between the two clocks.
+// clockOffset is an offset between the two clocks that was observed for some time.
 type clockOffset struct {
 	offset       balance.Millis // wall clock minus the balancer's clock
-	lastObserved balance.Millis // by the balancer's clock
+	lastObserved balance.Millis // on the balancer's clock
 }
 
-// observe records the present time of both clocks.
-func (c *startClock) observe(now, wall balance.Millis) {
+// observe records the current time of both clocks.
+func (c *startTimeConverter) observe(now, wall balance.Millis) {
 	c.now = now
 	offset := wall - now
 	if n := len(c.offsets); n > 0 && math.Abs(c.offsets[n-1].offset-offset) <= maxClockDrift {
@@ -36,7 +37,7 @@
 		return
 	}
 	if math.Abs(offset) <= maxClockDrift {
-		offset = 0 // no step since the start: times need no conversion
+		offset = 0 // the wall clock was not stepped since the balancer started, so times need no conversion
 	}
 	c.offsets = append(c.offsets, clockOffset{offset: offset, lastObserved: now})
 	for len(c.offsets) > maxClockOffsets || now-c.offsets[0].lastObserved > clockOffsetMaxAge {
@@ -44,8 +45,8 @@
 	}
 }
 
-// toBalancerTime converts a start by the wall clock to the balancer's clock. The result is not in the future.
-func (c *startClock) toBalancerTime(wallStart balance.Millis) balance.Millis {
+// toBalancerTime converts a start time from the wall clock to the balancer's clock. The result is not in the future.
+func (c *startTimeConverter) toBalancerTime(wallStart balance.Millis) balance.Millis {
 	if len(c.offsets) == 0 {
 		return wallStart
 	}
@@ -55,7 +56,7 @@
 			latest = max(latest, min(start, c.now))
 		}
 	}
-	if math.IsInf(latest, -1) { // in the future by every offset
+	if math.IsInf(latest, -1) { // the start is in the future with every offset
 		return c.now
 	}
 	return latest
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -9,12 +9,12 @@
 	"salttrack/balance"
 )
 
-// clockStart is both clocks' time at the start of the balancer.
+// clockStart is the time of both clocks when the balancer starts, in milliseconds.
 const clockStart = 1e12
 
-// checkStart reports the start of an upstream after a step of the wall clock, and checks its conversion, also when the
-// same start is reported again. before is the time from the start to the step, 0 for a start after the step; after is
-// the time from the later of both to the report.
+// checkStart reports the start of an upstream after a step of the wall clock, and checks the conversion of the start
+// time. It reports the same start three times. before is the time from the start to the step, or 0 for a start after
+// the step. after is the time from the later of the two to the first report.
 func checkStart(t *testing.T, step, before, after balance.Millis) {
 	t.Helper()
 	r, table := NewRegistry([]string{"a"}), addresses{}
@@ -30,17 +30,18 @@
 	r.ObserveClocks(now, now+step)
 	for revision := 2; revision < 5; revision++ {
 		got := apply(t, r, table, delta(revision, memberAt("s-1", "in_service", "127.0.0.1:78", int(wallStart))))[0].StartedAt
-		// Steps of seconds can't be distinguished from a delayed report: then the start may be taken for later, not for earlier.
+		// A step of seconds can't be distinguished from a delayed report. The start may then be taken for later, but
+		// not for earlier.
 		if late := got - start; late < -1 || late > math.Abs(step)+1 || math.Abs(step) > 1e6 && late > 1 {
-			t.Errorf("%.0f ms after the start, reported %d times", late, revision-1)
+			t.Errorf("converted start time is %.0f ms late after %d reports", late, revision-1)
 		}
 		now += 3000
 		r.ObserveClocks(now, now+step)
 	}
 }
 
-// An upstream is cold from its start on, by the balancer's clock, whatever step the wall clock makes and however often
-// the same start is reported.
+// The start time of an upstream on the balancer's clock, from which slow start is counted, does not depend on steps of
+// the wall clock or on how often the same start is reported.
 func TestStartUnderClockSteps(t *testing.T) {
 	for name, step := range map[string]balance.Millis{"none": 0, "an hour forward": 3600e3, "an hour back": -3600e3,
 		"seconds forward": 5000, "seconds back": -5000} {
@@ -57,7 +58,8 @@
 	}
 }
 
-// With steps at any time, an upstream is never taken for older than it is, and its start is never in the future.
+// With steps of the wall clock at any time, a converted start time is never before the actual start and never in the
+// future.
 func TestStartIsNeverTooEarly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, table := NewRegistry([]string{"a"}), addresses{}
@@ -73,18 +75,18 @@
 			u := &Update{Endpoints: []Endpoint{{Name: "s", StartedAt: wallStart, State: balance.Ready}}}
 			got := r.Apply(u, table).Endpoints[0].StartedAt
 			if got < start-maxClockDrift-1 || got > now {
-				t.Fatalf("started at %v, taken for %v, reported at %v", start, got, now)
+				t.Fatalf("start %v is converted to %v, reported at %v", start, got, now)
 			}
 		}
 	})
 }
 
-// Without a step, starts need no conversion.
+// Without a step of the wall clock, a start time is not changed by the conversion.
 func TestStartWithoutClockSteps(t *testing.T) {
 	r, table := NewRegistry([]string{"a"}), addresses{}
 	r.ObserveClocks(clockStart, clockStart+0.4)
 	got := apply(t, r, table, snapshot(1, memberAt("s-1", "in_service", "127.0.0.1:78", int(clockStart-5000))))[0].StartedAt
 	if got != clockStart-5000 {
-		t.Errorf("started at %v, want %v", got, clockStart-5000)
+		t.Errorf("start %v, want %v", got, clockStart-5000)
 	}
 }
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -12,7 +12,7 @@
 	"salttrack/balance"
 )
 
-// wireUpdate is an update in the wire format. This file alone knows its names.
+// wireUpdate is an update in the wire format. Only this file uses the field names of the wire format.
 type wireUpdate struct {
 	Revision uint64       `json:"revision"`
 	Complete bool         `json:"complete"`
@@ -29,34 +29,34 @@
 	UpSinceMS float64 `json:"up_since_ms"`
 }
 
-// statesByPhase maps the phases of the wire format.
+// statesByPhase maps the phases of the wire format to states of package balance.
 var statesByPhase = map[string]balance.EndpointState{
 	"in_service":  balance.Ready,
 	"terminating": balance.Draining,
 	"terminated":  balance.Removed,
 }
 
-// Causes of a malformed update. Their texts are part of the error lines of a bad configuration.
+// Causes of a malformed update. Their texts are part of configuration errors.
 var (
-	errNoMembers       = errors.New("a list without members")
+	errNoMembers       = errors.New(`"members" is missing or null`)
 	errUnknownPhase    = errors.New("unknown phase")
-	errMalformedMember = errors.New("malformed") // no id, or a start out of range
+	errMalformedMember = errors.New("id is empty, or up_since_ms is negative or infinite")
 )
 
-// jsonError is an error of the JSON decoder. Its text names types, by the names that the error lines of a bad
-// configuration have for them.
+// jsonError is an error of the JSON decoder. Its text names Go types. In place of the names of this package's types it
+// has those that operators know from configuration errors.
 type jsonError struct{ cause error }
 
 var jsonTypeNames = strings.NewReplacer("wireUpdate", "Update", "wireMember", "Member")
 
-// Error returns the text of the decoder.
+// Error returns the text of the decoder's error, with the type names replaced.
 func (e *jsonError) Error() string { return jsonTypeNames.Replace(e.cause.Error()) }
 
-// Unwrap returns the error of the decoder.
+// Unwrap returns the decoder's error.
 func (e *jsonError) Unwrap() error { return e.cause }
 
-// ParseUpdate decodes one message of the discovery service. A message with any error in it is not applied in part: the
-// result is then a *ProtocolError with the violation MalformedUpdate.
+// ParseUpdate decodes one message of the discovery service. If any part of the message is malformed, it returns no
+// update and a *ProtocolError with the violation MalformedUpdate.
 func ParseUpdate(message []byte) (*Update, error) {
 	var wire wireUpdate
 	if err := json.NewDecoder(bytes.NewReader(message)).Decode(&wire); err != nil {
@@ -86,11 +86,11 @@
 	return &ProtocolError{Violation: MalformedUpdate, Detail: detail, Cause: cause}
 }
 
-// decode checks a member and writes it to an endpoint. One that is removed needs no address.
+// decode checks a member and stores it in an endpoint. A removed member needs no address.
 func (m *wireMember) decode(endpoint *Endpoint) error {
 	state, known := statesByPhase[m.Phase]
 	if !known {
-		return fmt.Errorf("%w %q", errUnknownPhase, m.Phase)
+		return fmt.Errorf("%w %q, want in_service, terminating or terminated", errUnknownPhase, m.Phase)
 	}
 	address, err := netip.ParseAddrPort(m.HostPort)
 	if err != nil && state != balance.Removed {
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -27,7 +27,7 @@
 	ready := member("s", "in_service")
 	for _, tt := range []struct {
 		message string
-		cause   error // nil for one of the JSON decoder or of the address
+		cause   error // nil for an error of the JSON decoder or of the address parser
 	}{
 		{"", nil},
 		{"[]", nil},
@@ -55,20 +55,20 @@
 	}
 }
 
-// The texts are part of the error lines of a bad configuration.
-func TestTextsOfMalformedUpdates(t *testing.T) {
+// The error texts are part of configuration errors, which operators read.
+func TestErrorTextsOfMalformedUpdates(t *testing.T) {
 	for message, want := range map[string]string{
 		"":                 "discovery: EOF",
 		"[]":               "discovery: json: cannot unmarshal array into Go value of type discovery.Update",
 		"{":                "discovery: unexpected EOF",
-		"{}":               "discovery: a list without members",
+		"{}":               `discovery: "members" is missing or null`,
 		`{"members":{}}`:   "discovery: json: cannot unmarshal object into Go struct field Update.members of type []discovery.Member",
 		`{"revision":-1}`:  "discovery: json: cannot unmarshal number -1 into Go struct field Update.revision of type uint64",
 		`{"revision":"x"}`: "discovery: json: cannot unmarshal string into Go struct field Update.revision of type uint64",
-		`{"members":[{"id":"","host_port":"127.0.0.1:80","phase":"in_service"}]}`:                   "discovery: member 0: malformed",
-		`{"members":[{"id":"s","host_port":"127.0.0.1:80","phase":"resting"}]}`:                     `discovery: member "s": unknown phase "resting"`,
+		`{"members":[{"id":"","host_port":"127.0.0.1:80","phase":"in_service"}]}`:                   "discovery: member 0: id is empty, or up_since_ms is negative or infinite",
+		`{"members":[{"id":"s","host_port":"127.0.0.1:80","phase":"resting"}]}`:                     `discovery: member "s": unknown phase "resting", want in_service, terminating or terminated`,
 		`{"members":[{"id":"s","host_port":"host:80","phase":"in_service"}]}`:                       `discovery: member "s": ParseAddr("host"): unable to parse IP`,
-		`{"members":[{"id":"s","host_port":"127.0.0.1:80","phase":"in_service","up_since_ms":-5}]}`: "discovery: member 0: malformed",
+		`{"members":[{"id":"s","host_port":"127.0.0.1:80","phase":"in_service","up_since_ms":-5}]}`: "discovery: member 0: id is empty, or up_since_ms is negative or infinite",
 		`{"members":[{"id":"s","cell":70000}]}`:                                                     "discovery: json: cannot unmarshal number 70000 into Go struct field Member.members.cell of type uint16",
 		`{"members":[{"id":5}]}`:                                                                    "discovery: json: cannot unmarshal number into Go struct field Member.members.id of type string",
 	} {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Whatever is decoded can be applied, and no removed endpoint keeps its address.
+// Each update that is decoded can be applied to a registry, and a removed endpoint has no address afterwards.
 func FuzzParseUpdate(f *testing.F) {
 	f.Add([]byte(snapshot(41, member("s-1", "in_service"), member("s-2", "terminated"))))
 	f.Add([]byte(`{"revision":1,"members":[{}]}`))
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -1,10 +1,9 @@
 package discovery
 
-// Violation is the way in which a stream of endpoint updates failed. It is an error itself, so that errors.Is finds it
-// in a ProtocolError.
+// Violation is the kind of a ProtocolError. It implements error, so that errors.Is finds it in a ProtocolError.
 type Violation string
 
-// The violations.
+// The kinds of protocol errors.
 const (
 	StreamEnded       Violation = "stream ended"
 	StreamTimedOut    Violation = "stream timed out without an update or a keepalive"
@@ -17,17 +16,18 @@
 	UpdateTooLarge    Violation = "update too large"
 )
 
-// Error returns the description of a violation.
+// Error returns the description of the violation.
 func (v Violation) Error() string { return string(v) }
 
-// ProtocolError reports that the discovery service broke its protocol, or ended or stalled a stream.
+// ProtocolError reports that the discovery service violated the protocol, closed a stream or stopped sending.
 type ProtocolError struct {
 	Violation Violation
-	Detail    string // which part of the message, and its value; may be empty
-	Cause     error  // of the decoder; may be nil
+	Detail    string // which part of the response is wrong, and its value; may be empty
+	Cause     error  // error of the HTTP or JSON decoder; may be nil
 }
 
-// Error returns the violation, its detail and its cause. Of a malformed update the detail and the cause say enough.
+// Error returns the violation, its detail and its cause. For a malformed update it leaves out the violation, as the
+// detail and the cause describe it.
 func (e *ProtocolError) Error() string {
 	text := "discovery"
 	if e.Violation != MalformedUpdate {
@@ -50,7 +50,8 @@
 	return []error{e.Violation, e.Cause}
 }
 
-// implausible reports whether an update is well-formed but contradicts what is known: the next snapshot decides.
+// implausible reports whether an update is well-formed but contradicts the earlier updates. The next snapshot then
+// shows the true state.
 func (e *ProtocolError) implausible() bool {
 	return e.Violation == StaleUpdate || e.Violation == EmptySnapshot
 }
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -17,7 +17,7 @@
 	"salttrack/internal/epoll/epolltest"
 )
 
-// member returns an endpoint in the wire format.
+// member returns a member at address 127.0.0.1:80 in the wire format.
 func member(id, phase string) string {
 	return memberAt(id, phase, "127.0.0.1:80", 1000)
 }
@@ -36,7 +36,7 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":%s,"members":[%s],"more":"ignored"}`, revision, complete, strings.Join(members, ","))
 }
 
-// addresses is an AddressTable that a test can read.
+// addresses is an AddressTable that stores the addresses by upstream id.
 type addresses map[balance.UpstreamID]netip.AddrPort
 
 func (a addresses) SetAddress(id balance.UpstreamID, address netip.AddrPort, _ balance.Millis) {
@@ -45,7 +45,7 @@
 
 func (a addresses) Remove(id balance.UpstreamID) { delete(a, id) }
 
-// apply applies a message to a registry.
+// apply decodes a message, applies it to a registry and returns the resulting endpoint updates.
 func apply(t *testing.T, r *Registry, a addresses, message string) []balance.Endpoint {
 	t.Helper()
 	u, err := ParseUpdate([]byte(message))
@@ -66,14 +66,14 @@
 	return &service{epolltest.Listen(t), t}
 }
 
-// serverStream is the service's end of a stream.
+// serverStream is the service's side of a stream.
 type serverStream struct {
 	net.Conn
 	t     *testing.T
-	since string // the revision that the request names, "" if it asks for a snapshot
+	since string // the revision after which the request asks for updates, "" if it asks for a snapshot
 }
 
-// next waits for the next stream.
+// next waits for the next stream and reads its request.
 func (s *service) next() *serverStream {
 	s.t.Helper()
 	c := s.Next()
@@ -84,7 +84,7 @@
 	return &serverStream{c, s.t, q.URL.Query().Get("since")}
 }
 
-// nextSnapshot waits for the next stream, which has to ask for a snapshot.
+// nextSnapshot waits for the next stream. The test fails if the stream does not ask for a snapshot.
 func (s *service) nextSnapshot() *serverStream {
 	s.t.Helper()
 	stream := s.next()
@@ -101,7 +101,7 @@
 // send sends text as one chunk of the body.
 func (s *serverStream) send(text string) { fmt.Fprintf(s, "%x\r\n%s\r\n", len(text), text) }
 
-// expectClosed expects that the watcher closes the stream.
+// expectClosed checks that the watcher closes the stream.
 func (s *serverStream) expectClosed(name string) {
 	s.t.Helper()
 	if n, err := s.Read(make([]byte, 1)); err != io.EOF {
@@ -109,7 +109,7 @@
 	}
 }
 
-// entries is a log hook that passes the entries on.
+// entries is a log hook that sends the log entries to a channel.
 type entries chan *logrus.Entry
 
 func (entries) Levels() []logrus.Level { return logrus.AllLevels }
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// fixture is a watcher on an event loop.
+// fixture has a watcher on an event loop, and the updates and log entries of the watcher.
 type fixture struct {
 	*epolltest.Rig
 	watcher *Watcher
@@ -127,7 +127,7 @@
 	log     entries
 }
 
-// watch starts a watcher of the service at an address.
+// watch starts a watcher of the discovery service at an address. The watcher is stopped when the test ends.
 func watch(t *testing.T, address netip.AddrPort) *fixture {
 	t.Helper()
 	f := &fixture{
@@ -150,7 +150,7 @@
 	return f
 }
 
-// expect waits for an update with a revision.
+// expect waits for the next update and checks its revision.
 func (f *fixture) expect(revision uint64) {
 	f.T.Helper()
 	select {
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -9,38 +9,39 @@
 	"salttrack/balance"
 )
 
-// maxRemovedNames bounds the names that are kept of removed upstreams: names may be new at each start of an upstream.
+// maxRemovedNames is the maximum number of names of removed upstreams that are kept. Without it the registry would grow
+// forever, as upstreams may get a new name at each start.
 const maxRemovedNames = 1024
 
 // AddressTable receives the addresses of the upstreams.
 type AddressTable interface {
-	// SetAddress adds an upstream, or changes its address or the start of its process.
+	// SetAddress adds an upstream, or changes its address or the start time of its process.
 	SetAddress(id balance.UpstreamID, address netip.AddrPort, startedAt balance.Millis)
 	// Remove removes an upstream.
 	Remove(balance.UpstreamID)
 }
 
-// Registry holds the endpoints that are listed, numbers them for package balance and knows their addresses. The number
-// of a removed upstream is kept for a while, and for as long as it is pinned.
+// Registry holds the listed endpoints and assigns ids to them for package balance. It keeps the id of a removed
+// upstream until maxRemovedNames other upstreams are removed, and the id of a pinned upstream until it is unpinned.
 type Registry struct {
-	zones        []string // by their number
-	ids          map[string]balance.UpstreamID
+	zones        []string                      // names, indexed by zone number
+	ids          map[string]balance.UpstreamID // by upstream name
 	names        map[balance.UpstreamID]string // the reverse of ids
 	listed       map[balance.UpstreamID]listedEndpoint
-	pinned       map[string]bool
-	removedNames []string // in the order of their removal; some may be listed again
+	pinned       map[string]bool // by upstream name
+	removedNames []string        // in order of removal; some may be listed again
 	byAddress    map[netip.AddrPort]balance.UpstreamID
-	clock        startClock
+	startTimes   startTimeConverter
 }
 
-// listedEndpoint is an endpoint as it was last updated.
+// listedEndpoint is an endpoint as of its last update.
 type listedEndpoint struct {
 	address   netip.AddrPort
-	wallStart balance.Millis // when it started, as the discovery service reports it
-	startedAt balance.Millis // the same by the balancer's clock
+	wallStart balance.Millis // start time on the wall clock, as the discovery service reports it
+	startedAt balance.Millis // start time on the balancer's clock
 }
 
-// NewRegistry returns a registry without endpoints. The index of a zone's name is the number of the zone.
+// NewRegistry returns a registry without endpoints. The number of a zone is the index of its name in zones.
 func NewRegistry(zones []string) *Registry {
 	return &Registry{
 		zones:     slices.Clone(zones),
@@ -52,12 +53,12 @@
 	}
 }
 
-// ObserveClocks records the present time of the balancer's clock and of the wall clock, by which the discovery service
-// reports when upstreams started. It is called before each Apply.
-func (r *Registry) ObserveClocks(now, wall balance.Millis) { r.clock.observe(now, wall) }
+// ObserveClocks records the current time of the balancer's clock and of the wall clock. The discovery service reports
+// start times on the wall clock. ObserveClocks is called before each Apply.
+func (r *Registry) ObserveClocks(now, wall balance.Millis) { r.startTimes.observe(now, wall) }
 
-// Apply applies an update to the registry and the address table, and returns it in the form of package balance. The
-// result may have further removals: of endpoints whose address another one has now.
+// Apply applies an update to the registry and the address table, and converts it to an update of package balance. The
+// result also removes endpoints whose address now belongs to another endpoint.
 func (r *Registry) Apply(update *Update, addresses AddressTable) balance.EndpointUpdate {
 	result := balance.EndpointUpdate{
 		Endpoints: make([]balance.Endpoint, 0, len(update.Endpoints)),
@@ -80,7 +81,7 @@
 			result.Endpoints = append(result.Endpoints, balance.Endpoint{ID: replaced, State: balance.Removed})
 			r.remove(replaced, addresses)
 		}
-		r.list(translated.ID, e, translated.StartedAt)
+		r.setListed(translated.ID, e, translated.StartedAt)
 		addresses.SetAddress(translated.ID, e.Address, translated.StartedAt)
 		updated[translated.ID] = true
 	}
@@ -90,20 +91,20 @@
 	return result
 }
 
-// translate returns an endpoint in the form of package balance.
+// translate converts an endpoint to one of package balance.
 func (r *Registry) translate(e *Endpoint) balance.Endpoint {
 	id := r.id(e.Name)
 	return balance.Endpoint{
 		ID:        id,
-		Zone:      r.zone(e.Zone),
+		Zone:      r.zoneNumber(e.Zone),
 		Cell:      e.Cell,
 		State:     e.State,
 		StartedAt: r.startedAt(id, e),
 	}
 }
 
-// startedAt returns when an upstream started, by the balancer's clock. The result stays the same for as long as the
-// discovery service reports the same start, whatever steps the wall clock makes.
+// startedAt returns when an upstream started, on the balancer's clock. While the discovery service reports the same
+// start time, the result stays the same, even if the wall clock is stepped.
 func (r *Registry) startedAt(id balance.UpstreamID, e *Endpoint) balance.Millis {
 	if e.StartedAt == 0 || e.State == balance.Removed {
 		return e.StartedAt
@@ -111,12 +112,12 @@
 	if previous, listed := r.listed[id]; listed && previous.wallStart == e.StartedAt {
 		return previous.startedAt
 	}
-	return r.clock.toBalancerTime(e.StartedAt)
+	return r.startTimes.toBalancerTime(e.StartedAt)
 }
 
-// conflicting returns another upstream listed at the address of an endpoint, if there is one. Two names at one address
-// are two processes, of which the later one has replaced the earlier: what is sent to the earlier would reach the
-// later, which is cold.
+// conflicting returns another upstream that is listed at the address of an endpoint, if there is one. Two names at one
+// address are two processes, of which the later one has replaced the earlier one. A request to the earlier one would
+// reach the later one, which is warming up.
 func (r *Registry) conflicting(id balance.UpstreamID, e *Endpoint) (balance.UpstreamID, bool) {
 	if e.State == balance.Removed {
 		return 0, false
@@ -125,8 +126,8 @@
 	return other, found && other != id
 }
 
-// list records an endpoint as listed.
-func (r *Registry) list(id balance.UpstreamID, e *Endpoint, startedAt balance.Millis) {
+// setListed records an endpoint as listed.
+func (r *Registry) setListed(id balance.UpstreamID, e *Endpoint, startedAt balance.Millis) {
 	if previous := r.listed[id].address; previous != e.Address && r.byAddress[previous] == id {
 		delete(r.byAddress, previous)
 	}
@@ -134,8 +135,8 @@
 	r.listed[id] = listedEndpoint{address: e.Address, wallStart: e.StartedAt, startedAt: startedAt}
 }
 
-// removeMissing removes the listed upstreams that a snapshot does not name, in the order of their numbers: the order
-// in which their connections close must not depend on that of a map.
+// removeMissing removes the listed upstreams that are not in a snapshot. It removes them in the order of their ids, as
+// the order in which their connections are closed must not depend on the iteration order of a map.
 func (r *Registry) removeMissing(updated map[balance.UpstreamID]bool, addresses AddressTable) {
 	for _, id := range slices.Sorted(maps.Keys(r.listed)) {
 		if !updated[id] {
@@ -144,7 +145,7 @@
 	}
 }
 
-// remove removes an upstream from the list. Its name and number are kept for a while.
+// remove removes an upstream from the listed ones. Its name and id are kept until forgetRemoved drops them.
 func (r *Registry) remove(id balance.UpstreamID, addresses AddressTable) {
 	addresses.Remove(id)
 	if address := r.listed[id].address; r.byAddress[address] == id {
@@ -155,7 +156,8 @@
 	r.forgetRemoved()
 }
 
-// forgetRemoved forgets the names that were removed first, beyond the bound, unless they are listed again or pinned.
+// forgetRemoved drops the names and ids of the upstreams that were removed first, as long as there are more than
+// maxRemovedNames. It keeps those that are listed again or pinned.
 func (r *Registry) forgetRemoved() {
 	for len(r.removedNames) > maxRemovedNames {
 		name := r.removedNames[0]
@@ -169,22 +171,22 @@
 	}
 }
 
-// Lookup returns the number of an upstream that is listed, pinned or was recently removed.
+// Lookup returns the id of an upstream that is listed, pinned or was recently removed.
 func (r *Registry) Lookup(name string) (balance.UpstreamID, bool) {
 	id, ok := r.ids[name]
 	return id, ok
 }
 
-// Name returns the name of an upstream that is listed, pinned or was recently removed, and "" for any other.
+// Name returns the name of an upstream that is listed, pinned or was recently removed, or "" for any other id.
 func (r *Registry) Name(id balance.UpstreamID) string { return r.names[id] }
 
-// Pin numbers an upstream, listed or not, and keeps its number until Unpin.
+// Pin assigns an id to an upstream, which may not be listed, and keeps the id until Unpin.
 func (r *Registry) Pin(name string) balance.UpstreamID {
 	r.pinned[name] = true
 	return r.id(name)
 }
 
-// Unpin ends the effect of Pin.
+// Unpin ends the effect of Pin. The id is then kept like that of a removed upstream, unless the upstream is listed.
 func (r *Registry) Unpin(name string) {
 	if !r.pinned[name] {
 		return
@@ -196,8 +198,9 @@
 	}
 }
 
-// id returns the number of an upstream. It is a hash of the name, so that all instances number and order upstreams
-// alike; if two names have the same hash, the one that comes later gets the next free number.
+// id returns the id of an upstream, and assigns one if it has none. The id is a hash of the name, so that all instances
+// of the balancer assign the same ids and sort upstreams in the same order. If two names have the same hash, the name
+// that is added later gets the next free id.
 func (r *Registry) id(name string) balance.UpstreamID {
 	if id, ok := r.ids[name]; ok {
 		return id
@@ -213,8 +216,8 @@
 	return id
 }
 
-// zone returns the number of a zone. One that the settings do not name gets the next number.
-func (r *Registry) zone(name string) uint16 {
+// zoneNumber returns the number of a zone. A zone that the settings do not name gets the next free number.
+func (r *Registry) zoneNumber(name string) uint16 {
 	i := slices.Index(r.zones, name)
 	if i < 0 {
 		i = len(r.zones)
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -28,10 +28,11 @@
 	if len(table) != 1 || table[first[1].ID].Port() != 81 {
 		t.Errorf("addresses %v after a snapshot", table)
 	}
-	// Another instance, updated in another order, numbers alike: all instances have to order upstreams alike.
+	// Another instance that receives the endpoints in another order assigns the same ids, as all instances have to sort
+	// upstreams in the same order.
 	other := apply(t, NewRegistry(nil), addresses{}, snapshot(1, member("s-3", "in_service"), memberAt("s-1", "in_service", "127.0.0.1:78", 1)))
 	if other[0].ID != first[2].ID || other[1].ID != first[0].ID {
-		t.Errorf("instances number upstreams differently: %v %v", other, first)
+		t.Errorf("two instances assign different ids: %v %v", other, first)
 	}
 }
 
@@ -48,12 +49,12 @@
 	id := r.id("x")
 	delete(r.ids, "x") // as if another name had the same hash
 	if other := r.id("x"); other == id {
-		t.Error("two names share a number")
+		t.Error("two names have the same id")
 	}
 }
 
-// A new name at a listed address is another process, which is cold: what is sent to the old name would reach it. So
-// the old one is removed, whether the service says so or not, in whatever order the two are listed.
+// A new name at a listed address is a new process, which is warming up. A request to the old name would reach it. So
+// the old name is removed even if the service does not remove it, in whichever order the two are listed.
 func TestNewNameAtListedAddress(t *testing.T) {
 	const address = "127.0.0.1:80"
 	oldMember := func(phase string) string { return memberAt("old", phase, address, 1000) }
@@ -63,7 +64,7 @@
 		messages []string
 	}{
 		{"delta", []string{snapshot(1, oldMember("in_service")), delta(2, newMember)}},
-		{"the old one drains", []string{snapshot(1, oldMember("terminating")), delta(2, newMember)}},
+		{"the old one is draining", []string{snapshot(1, oldMember("terminating")), delta(2, newMember)}},
 		{"one snapshot, the new one last", []string{snapshot(1, oldMember("in_service"), newMember)}},
 		{"one snapshot, the old one last", []string{snapshot(1, newMember, oldMember("in_service"))}},
 		{"the old one listed again", []string{snapshot(1, newMember), delta(2, oldMember("terminating"))}},
@@ -81,7 +82,7 @@
 	}
 }
 
-// An upstream whose address changes leaves the old address to others.
+// After the address of an upstream has changed, another upstream can be listed at the old address.
 func TestAddressChange(t *testing.T) {
 	const first, second = "127.0.0.1:80", "127.0.0.1:81"
 	r, table := NewRegistry(nil), addresses{}
@@ -93,8 +94,8 @@
 	}
 }
 
-// Upstreams that start and end under ever new names leave a bounded number of names behind. A pinned upstream keeps
-// its number, and one that was never listed has none.
+// If upstreams get a new name at each start, the registry keeps a bounded number of names of removed upstreams. A
+// pinned upstream keeps its id. An upstream that was never listed has no id.
 func TestRemovedNamesAreForgotten(t *testing.T) {
 	r, table := NewRegistry(nil), addresses{}
 	apply(t, r, table, delta(0, member("s-pinned", "in_service")))
@@ -114,28 +115,28 @@
 		t.Errorf("%d names, %d listed upstreams, %d addresses, want one upstream", len(r.ids), len(r.listed), len(table))
 	}
 	if _, ok := r.Lookup(fmt.Sprint("s-", 5*maxRemovedNames-2)); !ok {
-		t.Error("an upstream that was just removed is unknown")
+		t.Error("an upstream that was just removed has no id")
 	}
 	if _, ok := r.Lookup("s-never"); ok {
-		t.Error("an upstream that was never listed is known")
+		t.Error("an upstream that was never listed has an id")
 	}
 	if id, ok := r.Lookup("s-pinned"); !ok || id != pinned {
-		t.Errorf("the pinned upstream has number %d, had %d", id, pinned)
+		t.Errorf("the pinned upstream has id %d, had %d", id, pinned)
 	}
 	if again := apply(t, r, table, delta(1002, member("s-pinned", "in_service"))); again[0].ID != pinned {
-		t.Errorf("the pinned upstream is listed again as %d, was %d", again[0].ID, pinned)
+		t.Errorf("the pinned upstream is listed again with id %d, had %d", again[0].ID, pinned)
 	}
 }
 
-// removals is an AddressTable that records the order of the removals.
+// removals is an AddressTable that records the ids of removed upstreams in order of removal.
 type removals struct{ ids []balance.UpstreamID }
 
 func (r *removals) SetAddress(balance.UpstreamID, netip.AddrPort, balance.Millis) {}
 
 func (r *removals) Remove(id balance.UpstreamID) { r.ids = append(r.ids, id) }
 
-// Upstreams that a snapshot does not name are removed in a fixed order: their connections close in it, and a simulated
-// run must not depend on the order of a Go map.
+// Upstreams that are missing in a snapshot are removed in a fixed order. Their connections are closed in this order,
+// and a simulation has to be reproducible, so the order must not depend on the iteration order of a map.
 func TestRemovalOrder(t *testing.T) {
 	r, removed := NewRegistry(nil), &removals{}
 	u := &Update{Snapshot: true}
--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -3,26 +3,26 @@
 import "fmt"
 
 const (
-	maxMessageBytes        = 8 << 20  // some tens of thousands of endpoints
-	maxRetainedBufferBytes = 64 << 10 // a larger buffer is released after its message
+	maxMessageBytes        = 8 << 20  // enough for tens of thousands of endpoints
+	maxRetainedBufferBytes = 64 << 10 // a larger buffer is released after its message was passed on
 )
 
-// messageSplitter splits a stream of JSON objects into messages, however its bytes are divided into reads: a message
-// may span several lines, and a line may hold several messages. An empty line between messages is a keepalive.
+// messageSplitter splits a stream of JSON objects into messages. A message may be received in several reads, it may
+// span several lines, and a line may hold several messages. An empty line between messages is a keepalive.
 type messageSplitter struct {
-	onMessage   func([]byte) error // its argument is valid during the call
+	onMessage   func([]byte) error // the argument is valid only during the call
 	onKeepalive func()
 
-	buffer      []byte // of the incomplete message, from earlier reads
+	buffer      []byte // the part of the incomplete message that was received in earlier reads
 	depth       int    // open braces and brackets in the message, 0 between messages
-	inString    bool
-	escaped     bool // the previous byte is a backslash in a string
-	lineStarted bool // the present line holds a part of a message
+	inString    bool   // the next byte belongs to a JSON string
+	escaped     bool   // the previous byte is a backslash that escapes the next byte of a string
+	lineStarted bool   // the current line holds a part of a message
 }
 
-// feed processes the next bytes of the stream. After an error the rest of the stream has no meaning.
+// feed processes the next bytes of the stream. After an error the stream can't be parsed further.
 func (s *messageSplitter) feed(p []byte) error {
-	start := 0 // of the open message in p
+	start := 0 // index in p at which the current message starts or continues
 	for i, b := range p {
 		switch {
 		case s.inString:
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// scanString scans a byte of a JSON string. A string can't hold a line break: the message was truncated.
+// scanString scans a byte of a JSON string. A line break is an error: JSON strings have none, so the message was
+// truncated.
 func (s *messageSplitter) scanString(b byte) error {
 	switch {
 	case b == '\n' || b == '\r':
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// scanBetween scans a byte that does not follow the start of a message.
+// scanBetween scans a byte between two messages, or the first byte of a message.
 func (s *messageSplitter) scanBetween(b byte) error {
 	switch b {
 	case '{':
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// scanClosing scans a closing brace or bracket, the last byte of read. If it ends the message, the message is passed on:
-// read is the part of it in the last read.
+// scanClosing scans a closing brace or bracket. If it ends the message, the message is passed to onMessage. The
+// argument read is the part of the message in the latest read, up to the closing byte.
 func (s *messageSplitter) scanClosing(read []byte) error {
 	s.depth--
 	if s.depth > 0 {
--- a/internal/discovery/splitter_test.go
+++ b/internal/discovery/splitter_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// indented returns a message over many lines.
+// indented returns a message with line breaks and indentation.
 func indented(t *testing.T, message string) string {
 	t.Helper()
 	var b bytes.Buffer
@@ -19,7 +19,7 @@
 	return b.String()
 }
 
-// Messages may be compact or indented, with either form of line break, and be read in pieces of any size.
+// Messages may be compact or indented, with line breaks of one or two bytes, and may be received in pieces of any size.
 func TestSplitMessages(t *testing.T) {
 	compact := snapshot(50, member("s-{1", "in_service"), member("s\\\"]2", "terminating"))
 	pretty := indented(t, compact)
@@ -66,7 +66,7 @@
 	}
 }
 
-// A message without an end is not buffered without bound.
+// A message that never ends fails once more than maxMessageBytes are buffered.
 func TestSplitEndlessMessage(t *testing.T) {
 	s := messageSplitter{}
 	var err error
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -13,7 +13,7 @@
 	"salttrack/internal/timer"
 )
 
-// Path and query of the streaming request.
+// Parts of the streaming request.
 const (
 	streamTarget  = "/api/targets?follow=1"
 	resumeQuery   = "&since=%d"
@@ -22,7 +22,7 @@
 
 const statusOK = 200
 
-// stream is one streaming request for the endpoint list. It owns its connection and its timer until close.
+// stream is one streaming request for the endpoint list. It owns its connection and its timer until close is called.
 type stream struct {
 	subscription *subscription
 	loop         *loop.Loop
@@ -31,14 +31,14 @@
 	connected    bool
 	closed       bool
 
-	unsent   []byte // rest of the request
+	unsent   []byte // part of the request that is still to be sent
 	decoder  *http1.ResponseDecoder
 	splitter messageSplitter
 
-	timeoutTimer    *timer.Timer
-	timedOut        bool // a newer stream was opened beside it
-	responsive      bool // it had an update or a keepalive
-	snapshotDecides bool // its first update is applied if it is a snapshot, plausible or not
+	timeoutTimer      *timer.Timer
+	timedOut          bool // no message was received in time, so a newer stream was opened in addition
+	responsive        bool // an update or a keepalive was received
+	acceptAnySnapshot bool // if the first update is a snapshot, it is applied even if it is implausible
 }
 
 // connectStream starts to connect to the discovery service.
@@ -49,11 +49,11 @@
 		return nil, err
 	}
 	st := &stream{
-		subscription:    s,
-		loop:            l,
-		fd:              fd,
-		openedAt:        l.Now(),
-		snapshotDecides: s.snapshotDecides,
+		subscription:      s,
+		loop:              l,
+		fd:                fd,
+		openedAt:          l.Now(),
+		acceptAnySnapshot: s.acceptAnySnapshot,
 	}
 	st.decoder = http1.NewResponseDecoder(st.onBody)
 	st.splitter = messageSplitter{onMessage: st.onMessage, onKeepalive: st.onKeepalive}
@@ -64,10 +64,10 @@
 	return st, nil
 }
 
-// start prepares the request, which is sent once the connection is established, and starts the timer.
+// start prepares the request and starts the timeout timer. The request is sent once the connection is established.
 func (st *stream) start() {
 	s := st.subscription
-	st.loop.Prioritize(st.fd) // updates are applied before requests of the same turn are sent to upstreams
+	st.loop.Prioritize(st.fd) // updates are applied before the requests of the same turn are sent to upstreams
 	target := streamTarget
 	timeout := s.firstMessageTimeout
 	if s.resumeRevision > 0 {
@@ -78,7 +78,8 @@
 	st.restartTimeout(timeout)
 }
 
-// restartTimeout sets the time after which the stream has timed out, unless a message restarts it.
+// restartTimeout restarts the timeout timer with a timeout in milliseconds. The stream times out if no message restarts
+// the timer before it expires.
 func (st *stream) restartTimeout(timeout balance.Millis) {
 	st.loop.Timers.Stop(st.timeoutTimer)
 	st.timeoutTimer = st.loop.After(timeout, st.onTimeout)
@@ -117,7 +118,7 @@
 	}
 }
 
-// send completes the connection and sends the request.
+// send checks whether the connection is established, and sends the rest of the request.
 func (st *stream) send(events uint32) error {
 	if !st.connected {
 		if err := st.loop.SocketError(st.fd); err != nil {
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// receive reads and decodes once. The error is unix.EAGAIN if nothing can be read.
+// receive reads once and decodes the bytes. It returns unix.EAGAIN if there are no bytes to read.
 func (st *stream) receive() error {
 	buffer := st.subscription.readBuffer
 	n, err := st.loop.Read(st.fd, buffer)
@@ -152,7 +153,7 @@
 	return st.decode(buffer[:n])
 }
 
-// decode decodes a part of the response. The splitter calls onMessage and onKeepalive meanwhile.
+// decode decodes a part of the response. During the call the splitter calls onMessage and onKeepalive.
 func (st *stream) decode(p []byte) error {
 	_, err := st.decoder.Feed(p)
 	switch {
@@ -186,7 +187,7 @@
 	return &ProtocolError{Violation: UnexpectedStatus, Detail: fmt.Sprint(st.decoder.Status())}
 }
 
-// onBody receives the body of the response from the HTTP decoder.
+// onBody handles a part of the response body, which the HTTP decoder passes to it.
 func (st *stream) onBody(p []byte) error {
 	if st.decoder.Status() != statusOK {
 		return st.unexpectedStatus()
@@ -199,7 +200,7 @@
 	st.subscription.onLiveness(st)
 }
 
-// onMessage receives a message from the splitter.
+// onMessage handles a message, which the splitter passes to it.
 func (st *stream) onMessage(message []byte) error {
 	update, err := ParseUpdate(message)
 	if err != nil {
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -10,10 +10,10 @@
 	"salttrack/internal/epoll/epolltest"
 )
 
-// malformedMember is an update with an endpoint in an unknown phase.
+// malformedMember is an update whose member has an unknown phase.
 const malformedMember = `{"revision":50,"members":[{"id":"s","phase":"asleep"}]}` + "\n"
 
-// brokenStreams are the ways in which the service may break a stream.
+// brokenStreams lists the ways in which the service may end a stream or violate the protocol.
 var brokenStreams = []struct {
 	name   string
 	breaks func(*serverStream)
@@ -25,11 +25,11 @@
 	{"malformed response", func(s *serverStream) { io.WriteString(s, "nonsense\r\n\r\n") }, MalformedResponse},
 	{"status without a body", func(s *serverStream) { io.WriteString(s, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }, UnexpectedStatus},
 	{"status with a body", func(s *serverStream) { io.WriteString(s, "HTTP/1.1 503 No\r\nContent-Length: 3\r\n\r\n{}\n") }, UnexpectedStatus},
-	{"end of the last chunk", func(s *serverStream) { s.sendHeader(); io.WriteString(s, "0\r\n\r\n") }, StreamEnded},
-	{"end of the length", func(s *serverStream) { io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n\n") }, StreamEnded},
+	{"body ends with the last chunk", func(s *serverStream) { s.sendHeader(); io.WriteString(s, "0\r\n\r\n") }, StreamEnded},
+	{"body ends after its content length", func(s *serverStream) { io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n\n") }, StreamEnded},
 }
 
-// checkResumes breaks a stream and returns the next one, which has to ask for the updates since a revision.
+// checkResumes breaks a stream and returns the next one. It checks the revision after which that asks for updates.
 func checkResumes(t *testing.T, service *service, stream *serverStream, breaks func(*serverStream), want string) *serverStream {
 	t.Helper()
 	breaks(stream)
@@ -40,16 +40,16 @@
 	return next
 }
 
-// A broken stream is followed by one that asks for the updates since the last good one, and one that timed out by
-// one that asks for a snapshot.
+// After a stream broke, the next one asks for the updates after the last revision that was applied. After a stream
+// timed out, the next one asks for a snapshot.
 func TestStreamsResume(t *testing.T) {
 	service := newService(t)
 	f := watch(t, service.Address())
-	s := service.nextSnapshot() // without changes, a resumed stream would not show that the service is there
+	s := service.nextSnapshot() // sent at once; a stream that resumes receives nothing for 2 s if no endpoint changes
 	s.sendHeader()
 	s.send("\n")
 	first := delta(43, member("s-1", "in_service")) + "\n"
-	s.send(first[:20]) // a message in two reads, and two in one
+	s.send(first[:20]) // the first message is sent in two chunks; the second chunk also has another message
 	s.send(first[20:] + "\n" + delta(44) + "\n")
 	f.expect(43)
 	f.expect(44)
@@ -61,7 +61,7 @@
 		f.AdvanceTimers(messageTimeout + 1)
 	}, "")
 	if n := f.CounterValue("watch_timeouts"); n == 0 {
-		t.Error("the time-out is not counted")
+		t.Error("the timeout is not counted")
 	}
 	s.sendHeader()
 	s.send(snapshot(45, member("s-1", "in_service")) + "\n")
@@ -76,7 +76,7 @@
 	})
 }
 
-// Each way of breaking a stream is logged as an error of its own type.
+// Each failure of a stream is logged as a ProtocolError with its violation.
 func TestViolationsAreLogged(t *testing.T) {
 	for _, tt := range brokenStreams {
 		t.Run(tt.name, func(t *testing.T) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// The service may not be there yet at the start.
+// If the discovery service is not running when the balancer starts, the watcher retries until it is.
 func TestServiceStartsLater(t *testing.T) {
 	l := epolltest.Listen(t)
 	address := l.Address()
@@ -101,7 +101,7 @@
 	<-f.log
 	later, err := net.Listen("tcp", address.String())
 	if err != nil {
-		t.Skip("the port is in use meanwhile")
+		t.Skip("another program has taken the port in the meantime")
 	}
 	defer later.Close()
 	l.TCPListener = later.(*net.TCPListener)
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -7,48 +7,48 @@
 	"salttrack/internal/timer"
 )
 
-// The protocol demands that an update is applied within 6 s after the discovery service can be reached again or a stream
-// has stopped sending, and within 4 s after a change of address. In that time the failure is detected, a first request
-// may hang until its time-out, and a second one gets a response.
+// The protocol requires that an update is applied within 6 s after the discovery service becomes reachable again or a
+// stream stops sending, and within 4 s after a change of the service's address. The timeouts are so short that within
+// these limits the failure is detected, a first new request hangs until its timeout, and a second one gets a response.
 const (
-	messageTimeout            = 3000.0 // ms without an update or a keepalive, which the service sends every 2 s
-	minFirstMessageTimeout    = 1000.0 // ms for the first message of a stream that starts with a snapshot
-	maxFirstMessageTimeout    = 2000.0 // ms
-	firstMessageTimeoutFactor = 1.5    // for each consecutive stream without a message
-	minBackoff                = 100.0  // ms until the request that follows a failed one
-	maxBackoff                = 1000.0 // ms
-	backoffFactor             = 2.0
-	minStreamDuration         = 1000.0 // ms that a stream has to last for the backoff to start anew
-	maxStreams                = 2      // open at once: the newest, and one before it that timed out
+	messageTimeout            = 3000.0 // ms without an update or a keepalive; the service sends a keepalive every 2 s
+	minFirstMessageTimeout    = 1000.0 // ms; initial timeout for the first message of a stream that asks for a snapshot
+	maxFirstMessageTimeout    = 2000.0 // ms; largest timeout for the first message of such a stream
+	firstMessageTimeoutFactor = 1.5    // growth of that timeout after each consecutive stream without a message
+	minBackoff                = 100.0  // ms; delay of the first retry after a failure
+	maxBackoff                = 1000.0 // ms; longest delay of a retry
+	backoffFactor             = 2.0    // growth of the delay with each retry
+	minStreamDuration         = 1000.0 // ms; a stream that stays open for longer resets the backoff to minBackoff
+	maxStreams                = 2      // streams open at the same time: the newest, and one that timed out before it
 	readBufferBytes           = 16 << 10
 )
 
-// subscription follows the endpoint list at one address, as a rule by one stream. It owns its streams and its retry
-// timer until stop.
+// subscription watches the endpoint list at one address, normally with one stream. It owns its streams and its retry
+// timer until stop is called.
 //
-// The first stream, and one that follows a time-out, asks for a snapshot, which the service sends at once. A stream that
-// resumes after a revision would get nothing for 2 s if there are no changes, and a service that works could not be
-// distinguished from one that hangs. A stream that timed out is kept open beside the next one until that has a message,
-// so that no update is lost whichever of them the service continues. While no stream has messages, the last endpoint
-// list stays in force.
+// The first stream, and each stream that follows one that timed out, asks for a snapshot, which the service sends at
+// once. A stream that resumes after a revision would receive nothing for 2 s if no endpoint changes, so that a working
+// service could not be distinguished from one that hangs. A stream that timed out stays open until the next stream
+// receives a message, so that updates are received on whichever of the two the service sends them. While no stream
+// receives messages, the last endpoint list stays in effect.
 type subscription struct {
 	options  Options
 	counters *counters
 
-	resumeRevision      uint64 // a new stream asks for the updates after it, or for a snapshot if it is 0
-	lastRevision        uint64 // of the last update, of whichever stream
-	snapshotDecides     bool   // an update was implausible: the snapshot of the next stream is applied in any case
-	synced              bool   // any message was received since the start
-	failureLogged       bool   // the first of the present consecutive failures was logged
-	firstMessageTimeout balance.Millis
-
-	streams    []*stream // open, the newest last
-	retryTimer *timer.Timer
-	backoff    balance.Millis
-	readBuffer []byte // shared by the streams, valid during one read
+	resumeRevision      uint64         // a new stream resumes after this revision; 0: it asks for a snapshot
+	lastRevision        uint64         // of the last update that was applied, from any stream
+	acceptAnySnapshot   bool           // an update was implausible, so the next snapshot is applied in any case
+	synced              bool           // an update or a keepalive was received since the start
+	failureLogged       bool           // the first of the current consecutive failures was logged
+	firstMessageTimeout balance.Millis // for the next stream that asks for a snapshot
+
+	streams    []*stream      // open streams, the newest last
+	retryTimer *timer.Timer   // nil if no retry is scheduled
+	backoff    balance.Millis // delay of the next retry
+	readBuffer []byte         // shared by the streams, valid during one read
 }
 
-// newSubscription returns a subscription without a stream.
+// newSubscription returns a subscription that has no stream yet.
 func newSubscription(o Options, c *counters) *subscription {
 	return &subscription{
 		options:             o,
@@ -59,7 +59,7 @@
 	}
 }
 
-// openStream opens a new stream, at the start or after the previous one failed. If it fails, it retries.
+// openStream opens a new stream. If that fails, it schedules a retry.
 func (s *subscription) openStream() {
 	s.stopRetryTimer()
 	for len(s.streams) >= maxStreams {
@@ -76,7 +76,7 @@
 	stream.start()
 }
 
-// scheduleRetry opens the next stream after the backoff, unless that is scheduled already.
+// scheduleRetry schedules the next stream after the backoff, unless a retry is scheduled already.
 func (s *subscription) scheduleRetry() {
 	if s.retryTimer != nil {
 		return
@@ -90,7 +90,7 @@
 	s.retryTimer = nil
 }
 
-// recordFailure counts a failure, and logs the first of consecutive ones.
+// recordFailure counts a failure. It logs only the first of consecutive failures.
 func (s *subscription) recordFailure(err error) {
 	s.counters.failures.Inc()
 	if s.failureLogged {
@@ -101,7 +101,7 @@
 		Warn("discovery watch failed, retrying; the last endpoint list stays in force")
 }
 
-// onTimeout opens a new stream beside one that timed out.
+// onTimeout opens a new stream in addition to one that timed out.
 func (s *subscription) onTimeout(timedOut *stream) {
 	s.resumeRevision = 0
 	if !timedOut.responsive {
@@ -112,7 +112,7 @@
 	s.openStream()
 }
 
-// onStreamFailed closes a stream that failed. If it is the newest one, another is opened after the backoff.
+// onStreamFailed closes a stream that failed. If it is the newest stream, another one is opened after the backoff.
 func (s *subscription) onStreamFailed(failed *stream, err error) {
 	newest := s.streams[len(s.streams)-1] == failed
 	if failed.responsive && s.options.Loop.Now()-failed.openedAt > minStreamDuration {
@@ -125,8 +125,8 @@
 	}
 }
 
-// onMessage records an update or a keepalive. A stream that timed out before may have missed updates, so the newer
-// stream goes on until it has a message itself; otherwise the streams before it are not needed any more.
+// onLiveness records that an update or a keepalive was received on a stream. If the stream has not timed out, the
+// streams that were opened before it are closed. If it has, it may have missed updates, so the newer stream stays open.
 func (s *subscription) onLiveness(from *stream) {
 	s.synced = true
 	from.responsive = true
@@ -141,22 +141,22 @@
 	from.restartTimeout(messageTimeout)
 }
 
-// onUpdate applies an update. One that is implausible, a stale one or a snapshot without endpoints, is not applied, and
-// the stream fails. If the snapshot of the next stream is implausible too, it is the true state: the service has no
-// endpoints, or its revisions started anew.
+// onUpdate applies an update. It does not apply an implausible one, which is a stale update or a snapshot without
+// endpoints, and the stream fails. If the snapshot of the next stream is implausible too, it is taken for the true
+// state and applied: the service has no endpoints, or its revisions have restarted at a lower number.
 func (s *subscription) onUpdate(from *stream, u *Update) error {
-	if !(from.snapshotDecides && u.Snapshot) {
+	if !(from.acceptAnySnapshot && u.Snapshot) {
 		if err := s.checkPlausible(u); err != nil {
 			s.resumeRevision = 0
-			s.snapshotDecides = true
+			s.acceptAnySnapshot = true
 			return err
 		}
 	}
-	from.snapshotDecides = false
-	s.snapshotDecides = false
+	from.acceptAnySnapshot = false
+	s.acceptAnySnapshot = false
 	s.counters.updates.Inc()
 	s.lastRevision = u.Revision
-	if !from.timedOut { // a stream that timed out may have missed an earlier one, which is still to be asked for
+	if !from.timedOut { // one that timed out may have missed earlier updates, so a new stream still has to get them
 		s.resumeRevision = u.Revision
 	}
 	s.onLiveness(from)
@@ -164,7 +164,8 @@
 	return nil
 }
 
-// checkPlausible returns a *ProtocolError for an update that contradicts the last one.
+// checkPlausible returns a *ProtocolError for a snapshot without endpoints and for an update with an older revision
+// than the last one.
 func (s *subscription) checkPlausible(u *Update) error {
 	if u.Snapshot && len(u.Endpoints) == 0 {
 		return &ProtocolError{Violation: EmptySnapshot}
--- a/internal/discovery/timeout_test.go
+++ b/internal/discovery/timeout_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// An update has to be applied within 6 s after a stream stopped sending, and within 4 s after a change of address: the
-// detection, a request that hangs as well, and one that is answered. White space within a message is no sign of life.
+// An update has to be applied within 6 s after a stream stopped sending. Within this time the failure has to be
+// detected, the next request may hang too, and the one after that gets a response. White space does not restart the
+// timeout.
 func TestStreamTimesOut(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
-		before     string // then the first stream stops sending
-		keepalives uint64 // in it
-		updates    uint64 // in it
-		within     float64
+		sent       string  // what the service sends on the first stream before it stops
+		keepalives uint64  // number of keepalives in sent
+		updates    uint64  // number of updates in sent
+		within     float64 // ms after which the first stream has timed out
 	}{
 		{"from the start", "", 0, 0, 1100},
 		{"after a keepalive", "\n", 1, 0, 3100},
@@ -24,15 +25,15 @@
 		f := watch(t, service.Address())
 		first := service.next()
 		first.sendHeader()
-		if tt.before != "" {
-			first.send(tt.before)
+		if tt.sent != "" {
+			first.send(tt.sent)
 			f.WaitForCounter("watch_keepalives", tt.keepalives)
 			f.WaitForCounter("watch_updates", tt.updates)
 		}
 		first.send(" ")
 		first.send("\t")
-		if f.AdvanceTimers(tt.within); f.CounterValue("watch_timeouts") != 1 { // or the real time until the next stream would do
-			t.Fatalf("%s: not timed out after %v ms", tt.name, tt.within)
+		if f.AdvanceTimers(tt.within); f.CounterValue("watch_timeouts") != 1 { // checked before next, which would wait for the real timeout
+			t.Fatalf("%s: the stream has not timed out after %v ms", tt.name, tt.within)
 		}
 		second := service.next() // hangs
 		f.AdvanceTimers(1100)
@@ -51,8 +52,8 @@
 	}
 }
 
-// Where the service continues a stream that timed out, its updates are applied. The next stream asks for a snapshot all the
-// same, since that one may have missed updates, and a stale update is not applied.
+// If the service resumes sending on a stream that timed out, its updates are applied. The next stream asks for a
+// snapshot nevertheless, as the one that timed out may have missed updates. A stale update is not applied.
 func TestTimedOutStreamContinues(t *testing.T) {
 	service := newService(t)
 	f := watch(t, service.Address())
@@ -71,7 +72,7 @@
 	f.WaitForCounter("watch_implausible", 1)
 	fourth := service.nextSnapshot()
 	fourth.sendHeader()
-	fourth.send(snapshot(7, member("s-1", "in_service"))) // the revisions started anew: this is the true state
+	fourth.send(snapshot(7, member("s-1", "in_service"))) // the revisions have restarted, so this is the true state
 	f.expect(7)
 	fourth.send(delta(8))
 	f.expect(8)
@@ -80,7 +81,7 @@
 	}
 }
 
-// A stale update is logged as one, with both revisions.
+// A stale update is logged with its own revision and that of the last update.
 func TestStaleUpdateIsLogged(t *testing.T) {
 	service := newService(t)
 	f := watch(t, service.Address())
@@ -95,8 +96,8 @@
 	}
 }
 
-// A snapshot without endpoints is not applied: the known endpoints stay, and another snapshot is asked for. If that is
-// empty too, there are no endpoints.
+// A snapshot without endpoints is not applied. The current endpoints stay listed, and the next stream asks for another
+// snapshot. If that has no endpoints either, it is applied.
 func TestEmptySnapshot(t *testing.T) {
 	service := newService(t)
 	f := watch(t, service.Address())
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -14,20 +14,20 @@
 	Loop     *loop.Loop
 	Address  netip.AddrPort // of the discovery service
 	Counters *counter.Set
-	OnUpdate func(*Update) // called for each update, in order
+	OnUpdate func(*Update) // called for each update, in the order of receipt
 	Log      logrus.FieldLogger
 }
 
 // counters are shared by all subscriptions of a Watcher.
 type counters struct {
-	requests       *counter.Counter // streaming requests sent
-	updates        *counter.Counter
-	keepalives     *counter.Counter
-	malformed      *counter.Counter // streams that ended by a malformed message
-	implausible    *counter.Counter // streams that ended by a stale update or an empty snapshot
-	timeouts       *counter.Counter // streams without a message in time
-	failures       *counter.Counter // of streams and connections, by whatever cause
-	addressChanges *counter.Counter
+	requests       *counter.Counter // streaming requests, including those whose connect fails
+	updates        *counter.Counter // updates that were applied
+	keepalives     *counter.Counter // keepalives that were received
+	malformed      *counter.Counter // streams that were closed because of a malformed response
+	implausible    *counter.Counter // streams that were closed because of a stale update or an empty snapshot
+	timeouts       *counter.Counter // streams that received no message in time
+	failures       *counter.Counter // failed connects, failed streams and timeouts
+	addressChanges *counter.Counter // changes of the service's address
 }
 
 func newCounters(set *counter.Set) counters {
@@ -43,23 +43,24 @@
 	}
 }
 
-// Watcher follows the endpoint list at the address of the discovery service, which may change. All methods are called
+// Watcher watches the endpoint list at the address of the discovery service, which may change. All methods are called
 // on the event loop.
 type Watcher struct {
 	options  Options
 	counters counters
 	current  *subscription
-	next     *subscription // at a new address, until its first update; nil if there is none
+	next     *subscription // for a changed address, until its first update; nil if the address was not changed
 }
 
-// NewWatcher returns a watcher that does nothing before Start. It owns its connections and timers until Stop.
+// NewWatcher returns a watcher that does nothing before Start is called. It owns its connections and timers until Stop
+// is called.
 func NewWatcher(o Options) *Watcher {
 	w := &Watcher{options: o, counters: newCounters(o.Counters)}
 	w.current = newSubscription(o, &w.counters)
 	return w
 }
 
-// Start starts to watch the endpoint list.
+// Start starts watching the endpoint list.
 func (w *Watcher) Start() { w.current.openStream() }
 
 // Stop closes all connections and stops all timers.
@@ -68,17 +69,18 @@
 	w.stopNext()
 }
 
-// Synced reports whether the discovery service has answered since the start.
+// Synced reports whether an update or a keepalive of the discovery service was received since the start.
 func (w *Watcher) Synced() bool { return w.current.synced }
 
-// SetAddress changes the address of the discovery service. Revisions of another address have no relation to those of
-// the present one, so its subscription starts with a snapshot. Until its first update the present subscription goes
-// on, so that a wrong address does no harm. SetAddress with the same address has no effect.
+// SetAddress changes the address of the discovery service. Revisions of different services are not comparable, so the
+// subscription at the new address starts with a snapshot. The current subscription continues until the first update
+// from the new address, so that a wrong address does not stop updates. Setting the same address again has no effect.
+// Setting the address of the current subscription cancels a change that has not received its first update.
 func (w *Watcher) SetAddress(address netip.AddrPort) {
 	if w.next != nil && w.next.options.Address == address {
 		return
 	}
-	if w.current.options.Address == address { // changed back before the first update of the other
+	if w.current.options.Address == address { // changed back before the first update from the other address
 		w.stopNext()
 		return
 	}
@@ -99,7 +101,7 @@
 	next.openStream()
 }
 
-// stopNext stops the subscription that has had no update yet, if there is one.
+// stopNext stops the subscription at the new address if it has not received its first update.
 func (w *Watcher) stopNext() {
 	if w.next != nil {
 		w.next.stop()
--- a/internal/epoll/epolltest/epolltest.go
+++ b/internal/epoll/epolltest/epolltest.go
@@ -1,4 +1,4 @@
-// Package epolltest runs a loop on the kernel of the operating system, for tests of packages that use one.
+// Package epolltest runs an event loop on the kernel of the operating system, for tests of packages that need a loop.
 package epolltest
 
 import (
@@ -13,18 +13,19 @@
 	"salttrack/internal/simulation/faultinject"
 )
 
-// Timeout bounds a wait for something that has to happen. No test depends on how long anything takes.
+// Timeout is the longest time that a test waits for an expected event before it fails. No test depends on how long the
+// event takes within that time.
 const Timeout = 10 * time.Second
 
-// Rig is a loop that runs until the test ends, and a set of counters.
+// Rig is a test fixture with a loop that runs until the test ends, and a set of counters.
 type Rig struct {
 	T     *testing.T
 	Loop  *loop.Loop
 	Count counter.Set
 }
 
-// Start starts a loop, on a kernel with the faults of some rules. The loop is stopped and the kernel released when the
-// test ends.
+// Start starts a loop. If there are fault rules, the kernel of the loop injects their faults. The loop is stopped and
+// the kernel released when the test ends.
 func Start(t *testing.T, rules ...faultinject.Rule) *Rig {
 	t.Helper()
 	kernel, err := epoll.New()
@@ -47,7 +48,7 @@
 	return &Rig{T: t, Loop: l}
 }
 
-// Do runs a function on the loop and waits for its end.
+// Do runs a function on the loop and waits until it returns.
 func (r *Rig) Do(do func()) {
 	done := make(chan struct{})
 	r.Loop.Post(func() {
@@ -57,22 +58,23 @@
 	<-done
 }
 
-// AdvanceTimers runs the timers that are due within a duration, in milliseconds, as if it had passed.
+// AdvanceTimers runs the timers that are due within a duration in milliseconds, as if the duration had passed. The
+// clock of the loop does not change.
 func (r *Rig) AdvanceTimers(ms float64) { r.Do(func() { r.Loop.Timers.Run(r.Loop.Now() + ms) }) }
 
-// CounterValue returns the value of a counter.
+// CounterValue returns the value of a counter. An unknown counter fails the test.
 func (r *Rig) CounterValue(name string) (value uint64) {
 	r.T.Helper()
 	r.Do(func() {
 		var ok bool
 		if value, ok = r.Count.Value(name); !ok {
-			r.T.Errorf("no counter %s", name)
+			r.T.Errorf("unknown counter %s", name)
 		}
 	})
 	return value
 }
 
-// WaitForCounter waits until a counter has a value.
+// WaitForCounter waits until a counter has a value. The test fails after Timeout.
 func (r *Rig) WaitForCounter(name string, want uint64) {
 	r.T.Helper()
 	for deadline := time.Now().Add(Timeout); r.CounterValue(name) != want; time.Sleep(time.Millisecond) {
@@ -82,13 +84,13 @@
 	}
 }
 
-// Listener accepts connections of the code under test.
+// Listener accepts connections from the code under test.
 type Listener struct {
 	*net.TCPListener
 	t *testing.T
 }
 
-// Listen opens a listener on loopback, which is closed when the test ends.
+// Listen opens a listener on the loopback interface. It is closed when the test ends.
 func Listen(t *testing.T) *Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,7 +104,8 @@
 // Address returns the address of the listener.
 func (l *Listener) Address() netip.AddrPort { return netip.MustParseAddrPort(l.Addr().String()) }
 
-// Next waits for a connection, which is closed when the test ends.
+// Next waits for a connection and accepts it. The connection is closed when the test ends. Reads and writes on it fail
+// after Timeout.
 func (l *Listener) Next() *net.TCPConn {
 	l.t.Helper()
 	l.SetDeadline(time.Now().Add(Timeout))
--- a/internal/epoll/inherited.go
+++ b/internal/epoll/inherited.go
@@ -6,11 +6,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// inheritedAcceptTimeout bounds an accept on an inherited listener that another process makes blocking right before it.
+// inheritedAcceptTimeout is the receive timeout of an inherited listener. It bounds an accept that blocks because
+// another process has cleared the non-blocking flag of the socket just before.
 var inheritedAcceptTimeout = unix.Timeval{Usec: 1000}
 
-// Adopt takes over a listening socket that the process was started with. Other processes have it too, and of two that
-// accept one gets no connection, so the socket must not block. Nothing else about it is changed.
+// Adopt uses a listening socket that the process has inherited when it was started. Other processes may have the same
+// socket. If two of them accept at the same time, there may be a connection for one of them only, so Adopt makes the
+// socket non-blocking. It changes no other property that the processes share except the receive timeout.
 func (k *Kernel) Adopt(fd int) error {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
 		return fmt.Errorf("descriptor %d is not a listening socket (%v)", fd, err)
@@ -23,13 +25,13 @@
 		err = unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &timeout)
 	}
 	if err != nil {
-		return fmt.Errorf("descriptor %d: %w", fd, err)
+		return fmt.Errorf("set options of inherited listener %d: %w", fd, err)
 	}
 	return nil
 }
 
-// setNonblocking makes the inherited listener non-blocking if it is not. The flag is shared by all processes that have
-// the socket, and one of them, such as the one that starts them, may have cleared it.
+// setNonblocking makes the inherited listener non-blocking if it is not. All processes that have the socket share the
+// flag, and any of them, such as the parent process, may have cleared it.
 func (k *Kernel) setNonblocking() error {
 	flags, err := unix.FcntlInt(uintptr(k.inheritedListener), unix.F_GETFL, 0)
 	if err == nil && flags&unix.O_NONBLOCK == 0 {
@@ -38,7 +40,8 @@
 	return err
 }
 
-// Accept accepts an established connection. Those of a listener that Listen has made inherit the sizes of its buffers.
+// Accept accepts an established connection. It returns unix.EAGAIN if there is none. It sets the buffer sizes of
+// connections from an inherited listener; those from a listener that Listen has opened inherit its buffer sizes.
 func (k *Kernel) Accept(fd int) (int, error) {
 	if fd != k.inheritedListener {
 		return Accept(fd)
--- a/internal/epoll/inherited_test.go
+++ b/internal/epoll/inherited_test.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// An inherited listener never blocks the loop, though another process that has it makes it blocking.
+// An inherited listener must not block the loop, even if another process that has the socket makes it blocking.
 func TestInheritedListenerDoesNotBlock(t *testing.T) {
 	fd := listenLoopback(t)
 	k, err := New()
@@ -21,11 +21,11 @@
 	if _, err := k.Accept(fd); err != unix.EAGAIN {
 		t.Errorf("accept without a connection: %v", err)
 	}
-	unix.SetNonblock(fd, false) // after the kernel has made it non-blocking again
+	unix.SetNonblock(fd, false) // as if another process did so between Kernel.setNonblocking and the accept
 	if _, err := Accept(fd); err != unix.EAGAIN {
-		t.Errorf("a blocking accept without a connection: %v", err)
+		t.Errorf("accept on a blocking listener without a connection: %v", err)
 	}
 	if err := k.Adopt(k.epollFD); err == nil {
-		t.Error("a descriptor that is no listener is adopted")
+		t.Error("Adopt accepts a descriptor that is not a listening socket")
 	}
 }
--- a/internal/epoll/kernel.go
+++ b/internal/epoll/kernel.go
@@ -1,4 +1,4 @@
-// Package epoll is the kernel of the operating system as a loop needs it: epoll, clocks and non-blocking sockets.
+// Package epoll implements loop.Kernel by the operating system: epoll, clocks and non-blocking sockets.
 package epoll
 
 import (
@@ -11,27 +11,28 @@
 	"salttrack/internal/loop"
 )
 
-// wakeGeneration marks events of the descriptor that ends a wait. No watch of a loop has it.
+// wakeGeneration marks events of the descriptor that ends a wait. A loop uses no negative generation.
 const wakeGeneration = -1
 
 const microsecondsPerMillisecond = 1000
 
-// Kernel is a loop.Kernel. It owns its epoll descriptor, the descriptor that ends a wait and an inherited listener, if
-// there is one; all other descriptors are owned by its callers. All methods but Wake are called on the loop.
+// Kernel implements loop.Kernel. It owns its epoll descriptor, the descriptor that ends a wait and the inherited
+// listener, if there is one. All other descriptors are owned by its callers. All methods except Wake are called on the
+// loop.
 type Kernel struct {
 	epollFD           int
-	wakeFD            int
-	inheritedListener int // 0: none
+	wakeFD            int // an eventfd that ends a wait
+	inheritedListener int // 0 if there is none
 	start             time.Time
-	startUnix         float64 // ms
+	startUnix         float64 // the Unix time of start, in ms
 }
 
-// New returns a kernel, which has to be released. Its clock starts with the Unix time and then follows the monotonic
-// clock: it never goes back, and times of other machines need no conversion.
+// New returns a kernel. The caller has to release it. Its clock starts at the Unix time and then follows the monotonic
+// clock. So it never goes back, and it can be compared with times of other machines without conversion.
 func New() (*Kernel, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+		return nil, fmt.Errorf("epoll_create1: %w", err)
 	}
 	wakeFD, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
@@ -51,15 +52,15 @@
 	return float64(t.UnixMicro()) / microsecondsPerMillisecond
 }
 
-// Now returns the time of the clock that never goes back, in milliseconds.
+// Now returns the time of the monotonic clock, in milliseconds. The clock starts at the Unix time.
 func (k *Kernel) Now() float64 {
 	return k.startUnix + float64(time.Since(k.start).Microseconds())/microsecondsPerMillisecond
 }
 
-// Wall returns the time of the machine's clock, in milliseconds.
+// Wall returns the time of the wall clock, in milliseconds of Unix time.
 func (k *Kernel) Wall() float64 { return unixMilliseconds(time.Now()) }
 
-// Add begins to watch a descriptor.
+// Add starts watching a descriptor for events. They are reported with the generation.
 func (k *Kernel) Add(fd int, events uint32, generation int32) error {
 	return k.control(unix.EPOLL_CTL_ADD, fd, events, generation)
 }
@@ -72,7 +73,7 @@
 func (k *Kernel) control(operation, fd int, events uint32, generation int32) error {
 	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: generation}
 	if err := unix.EpollCtl(k.epollFD, operation, fd, &event); err != nil {
-		return fmt.Errorf("epoll: %w", err)
+		return fmt.Errorf("epoll_ctl for descriptor %d: %w", fd, err)
 	}
 	return nil
 }
@@ -80,14 +81,15 @@
 // Remove stops watching a descriptor, which stays open.
 func (k *Kernel) Remove(fd int) { _ = unix.EpollCtl(k.epollFD, unix.EPOLL_CTL_DEL, fd, nil) }
 
-// Wait waits until descriptors are ready, Wake is called or a timeout in milliseconds has passed; -1 is none.
+// Wait blocks until descriptors are ready, Wake is called or a timeout in milliseconds has passed. A timeout of -1
+// means no timeout. Wait returns the number of events that it has stored.
 func (k *Kernel) Wait(events []loop.Event, timeout int) (int, error) {
 	n, err := unix.EpollWait(k.epollFD, events, timeout)
 	if err == unix.EINTR {
 		return 0, nil
 	}
 	if err != nil {
-		return 0, fmt.Errorf("epoll: %w", err)
+		return 0, fmt.Errorf("epoll_wait: %w", err)
 	}
 	for i := range n {
 		if events[i].Pad == wakeGeneration {
@@ -100,14 +102,15 @@
 	return n, nil
 }
 
-// Wake ends a Wait. It may be called from any goroutine.
+// Wake makes the current or the next Wait return at once. It may be called from any goroutine.
 func (k *Kernel) Wake() {
 	one := [8]byte{1}
-	unix.Write(k.wakeFD, one[:]) // if the counter is full, the wait ends as well
+	unix.Write(k.wakeFD, one[:]) // fails if the counter of the eventfd is full, which ends the wait as well
 }
 
-// Close closes a descriptor and stops watching it. The kernel stops watching a socket when its last descriptor is
-// closed, and of an inherited listener other processes have more.
+// Close closes a descriptor and stops watching it. Epoll stops watching a socket by itself only when the last
+// descriptor of the socket is closed. As other processes may have descriptors of an inherited listener, Close removes
+// the listener from epoll explicitly.
 func (k *Kernel) Close(fd int) {
 	if fd == k.inheritedListener {
 		k.Remove(fd)
@@ -116,36 +119,36 @@
 	unix.Close(fd)
 }
 
-// Release closes the epoll descriptor and the one that ends a wait.
+// Release closes the epoll descriptor and the descriptor that ends a wait.
 func (k *Kernel) Release() {
 	unix.Close(k.epollFD)
 	unix.Close(k.wakeFD)
 }
 
-// Listen returns a listening socket.
+// Listen returns a listening socket that is bound to an address.
 func (k *Kernel) Listen(address netip.AddrPort) (int, error) { return Listen(address) }
 
-// StopQueueing stops the establishment of new connections at a listening socket. It has no effect on an inherited one,
-// at which other processes accept.
+// StopQueueing makes a listening socket ignore new connection requests. It has no effect on an inherited listener, on
+// which other processes may accept connections.
 func (k *Kernel) StopQueueing(fd int) {
 	if fd != k.inheritedListener {
 		StopQueueing(fd)
 	}
 }
 
-// Connect begins a connection.
+// Connect starts a non-blocking connect.
 func (k *Kernel) Connect(address netip.AddrPort) (int, error) { return Connect(address) }
 
-// SocketError returns the pending error of a socket, nil if there is none.
+// SocketError returns the pending error of a socket, or nil if there is none.
 func (k *Kernel) SocketError(fd int) error { return SocketError(fd) }
 
-// Read reads what was received.
+// Read reads received bytes.
 func (k *Kernel) Read(fd int, p []byte) (int, error) { return Read(fd, p) }
 
-// Write writes what fits into the kernel's buffer.
+// Write writes as many bytes as fit into the kernel's send buffer.
 func (k *Kernel) Write(fd int, p []byte) (int, error) { return Write(fd, p) }
 
-// IdleOpen reports whether a connection is open and has nothing to read.
+// IdleOpen reports whether a connection is open and has no unread bytes.
 func (k *Kernel) IdleOpen(fd int) bool { return IdleOpen(fd) }
 
 // PeerClosed reports whether the peer has closed its writing side or the connection is broken.
--- a/internal/epoll/socket.go
+++ b/internal/epoll/socket.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// sockaddrOf returns an address in the kernel's form, and its family.
+// sockaddrOf converts an address to the type that package unix takes, and returns its address family.
 func sockaddrOf(address netip.AddrPort) (sockaddr unix.Sockaddr, family int) {
 	port := int(address.Port())
 	if ip := address.Addr().Unmap(); ip.Is4() {
@@ -16,24 +16,24 @@
 	return &unix.SockaddrInet6{Port: port, Addr: address.Addr().As16()}, unix.AF_INET6
 }
 
-// Sizes of the buffers that the kernel has for a connection, in bytes. It doubles them for its own use. They bound the
-// memory of connections: without them it may grow to some megabytes for each.
+// Sizes of the kernel's buffers for a connection, in bytes. The kernel doubles them for its own use. They limit the
+// memory of connections: without them, the buffers of one connection may grow to several megabytes.
 const (
-	clientReceiveBuffer   = 64 << 10 // a request of the largest size that is not streamed
+	clientReceiveBuffer   = 64 << 10 // holds the largest request that is not streamed
 	upstreamReceiveBuffer = 64 << 10
 	sendBuffer            = 64 << 10
 )
 
-const listenBacklog = 4096 // established connections that are not accepted
+const listenBacklog = 4096 // maximum number of established connections that wait to be accepted
 
 const socketType = unix.SOCK_STREAM | unix.SOCK_NONBLOCK | unix.SOCK_CLOEXEC
 
-// Listen returns a listening socket.
+// Listen returns a listening socket that is bound to an address.
 func Listen(address netip.AddrPort) (int, error) {
 	sockaddr, family := sockaddrOf(address)
 	fd, err := unix.Socket(family, socketType, 0)
 	if err != nil {
-		return -1, fmt.Errorf("socket: %w", err)
+		return -1, fmt.Errorf("listen on %s: create socket: %w", address, err)
 	}
 	if err := setUpListener(fd, sockaddr); err != nil {
 		unix.Close(fd)
@@ -44,7 +44,7 @@
 
 func setUpListener(fd int, sockaddr unix.Sockaddr) error {
 	for _, option := range [...]struct{ name, value int }{
-		{unix.SO_REUSEADDR, 1}, // connections of an earlier process may still have the address
+		{unix.SO_REUSEADDR, 1}, // connections of an earlier process may still use the address
 		{unix.SO_RCVBUF, clientReceiveBuffer},
 		{unix.SO_SNDBUF, sendBuffer},
 	} {
@@ -58,16 +58,17 @@
 	return unix.Listen(fd, listenBacklog)
 }
 
-// StopQueueing stops the establishment of new connections at a listening socket, by a filter that drops all packets to
-// it. Clients that connect get no reply until the socket is closed, and are refused then. Established connections are
-// not affected. Where the kernel refuses the filter, clients may connect until the socket is closed.
+// StopQueueing makes a listening socket ignore new connection requests, by a filter that drops all packets to it.
+// Clients that connect get no reply until the socket is closed, and are refused then. Established connections are not
+// affected. If the kernel rejects the filter, clients can connect until the socket is closed.
 func StopQueueing(fd int) {
 	dropAll := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
 	filter := unix.SockFprog{Len: uint16(len(dropAll)), Filter: &dropAll[0]}
 	_ = unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &filter)
 }
 
-// Connect begins a connection. When the socket is writable it is established or has failed, see SocketError.
+// Connect starts a non-blocking connect. Once the socket is writable, the connection is established or has failed;
+// SocketError tells which.
 func Connect(address netip.AddrPort) (int, error) {
 	sockaddr, family := sockaddrOf(address)
 	fd, err := unix.Socket(family, socketType, 0)
@@ -84,7 +85,7 @@
 	return fd, nil
 }
 
-// Accept accepts an established connection. unix.EAGAIN says that there is none.
+// Accept accepts an established connection. It returns unix.EAGAIN if there is none.
 func Accept(fd int) (int, error) {
 	connection, _, err := unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err == nil {
@@ -93,7 +94,7 @@
 	return connection, err
 }
 
-// SocketError returns the pending error of a socket, nil if there is none.
+// SocketError returns the pending error of a socket, or nil if there is none.
 func SocketError(fd int) error {
 	code, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
@@ -102,8 +103,8 @@
 	return err
 }
 
-// Read reads what was received. Zero bytes without an error are the end of the stream. unix.EAGAIN says that nothing was
-// received.
+// Read reads received bytes. Zero bytes without an error mean the end of the stream. Read returns unix.EAGAIN if there
+// are no bytes to read.
 func Read(fd int, p []byte) (int, error) {
 	for {
 		n, err := unix.Read(fd, p)
@@ -113,7 +114,8 @@
 	}
 }
 
-// Write writes what fits into the kernel's buffer. Zero bytes without an error say that it is full.
+// Write writes as many bytes as fit into the kernel's send buffer. Zero bytes without an error mean that the buffer is
+// full.
 func Write(fd int, p []byte) (int, error) {
 	for {
 		n, err := unix.SendmsgN(fd, p, nil, nil, unix.MSG_NOSIGNAL)
@@ -127,7 +129,7 @@
 	}
 }
 
-// IdleOpen reports whether a connection is open and nothing was received that is not read.
+// IdleOpen reports whether a connection is open and has no unread bytes.
 func IdleOpen(fd int) bool {
 	var first [1]byte
 	for {
@@ -138,8 +140,8 @@
 	}
 }
 
-// PeerClosed reports whether the peer has closed its writing side or the connection is broken, even if there is something
-// to read.
+// PeerClosed reports whether the peer has closed its writing side or the connection is broken. It also detects this
+// while there are unread bytes.
 func PeerClosed(fd int) bool {
 	poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	for {
@@ -150,7 +152,7 @@
 	}
 }
 
-// LocalAddress returns the address that a socket is bound to, the zero value if there is none.
+// LocalAddress returns the address that a socket is bound to, or the zero value if there is none.
 func LocalAddress(fd int) netip.AddrPort {
 	sockaddr, err := unix.Getsockname(fd)
 	if err != nil {
--- a/internal/epoll/socket_test.go
+++ b/internal/epoll/socket_test.go
@@ -20,7 +20,8 @@
 	return fd
 }
 
-// connectPair returns the client's and the server's descriptor of a connection. The test closes the server's.
+// connectPair returns the descriptors of the client's and the server's side of a connection. The caller closes the
+// server's side.
 func connectPair(t *testing.T) (client, server int) {
 	t.Helper()
 	listener := listenLoopback(t)
@@ -58,39 +59,39 @@
 	client, server := connectPair(t)
 	defer unix.Close(server)
 	if !IdleOpen(client) {
-		t.Error("an open connection without unread bytes is not idle")
+		t.Error("IdleOpen reports false for an open connection without unread bytes")
 	}
 	checkWrite(t, server, "ab")
 	if IdleOpen(client) {
-		t.Error("a connection with unread bytes is idle")
+		t.Error("IdleOpen reports true for a connection with unread bytes")
 	}
 	checkRead(t, client, 2, nil)
 	checkRead(t, client, 0, unix.EAGAIN)
 }
 
-// Unread bytes hide the end of the stream from a read, but not from PeerClosed.
+// A read returns unread bytes before the end of the stream. PeerClosed detects the close before they are read.
 func TestPeerClosed(t *testing.T) {
 	client, server := connectPair(t)
 	checkWrite(t, server, "ab")
 	if PeerClosed(client) {
-		t.Error("the peer of an open connection has closed it")
+		t.Error("PeerClosed reports true for an open connection")
 	}
 	unix.Close(server)
 	if !PeerClosed(client) {
-		t.Error("the peer has not closed the connection")
+		t.Error("PeerClosed reports false although the peer has closed the connection")
 	}
 	checkRead(t, client, 2, nil)
 	checkRead(t, client, 0, nil)
 	if IdleOpen(client) {
-		t.Error("a closed connection is open")
+		t.Error("IdleOpen reports true for a closed connection")
 	}
 }
 
 func TestListenFails(t *testing.T) {
 	if _, err := Listen(LocalAddress(listenLoopback(t))); err == nil {
-		t.Error("two listeners have one address")
+		t.Error("Listen opens a second listener on the same address")
 	}
 	if _, err := Listen(netip.MustParseAddrPort("192.0.2.1:80")); err == nil || os.IsNotExist(err) {
-		t.Error("listens on an address of another machine")
+		t.Error("Listen opens a listener on an address of another machine")
 	}
 }
--- a/internal/loop/helpers_test.go
+++ b/internal/loop/helpers_test.go
@@ -9,7 +9,7 @@
 	"salttrack/internal/loop"
 )
 
-// handlerFunc is a loop.Handler.
+// handlerFunc is a function that implements loop.Handler.
 type handlerFunc func(events uint32)
 
 func (h handlerFunc) Ready(events uint32) { h(events) }
@@ -35,7 +35,7 @@
 	return pair[0], pair[1]
 }
 
-// send writes a byte to a socket.
+// send writes one byte to a socket.
 func send(t *testing.T, fd int) {
 	t.Helper()
 	if n, err := epoll.Write(fd, []byte("x")); n != 1 || err != nil {
--- a/internal/loop/io.go
+++ b/internal/loop/io.go
@@ -2,11 +2,11 @@
 
 import "golang.org/x/sys/unix"
 
-// maxAcceptRetries bounds the failures in a row that one call of Accept ignores.
+// maxAcceptRetries is the maximum number of consecutive failures that one call of Accept ignores.
 const maxAcceptRetries = 16
 
-// Accept accepts an established connection. unix.EAGAIN says that there is none. Connections that their clients have
-// aborted and transient failures are ignored, up to a bound.
+// Accept accepts an established connection. It returns unix.EAGAIN if there is none. It skips connections that their
+// clients have aborted and retries after transient failures, up to maxAcceptRetries times.
 func (l *Loop) Accept(fd int) (int, error) {
 	connection, err := l.Sockets.Accept(fd)
 	for retries := 0; err != nil && err != unix.EAGAIN && retries < maxAcceptRetries; retries++ {
@@ -15,8 +15,8 @@
 	return connection, err
 }
 
-// Read reads what was received, as Sockets.Read does. A transient failure is the same as unix.EAGAIN: the descriptor is
-// reported again as long as there is something to read.
+// Read reads received bytes, as Sockets.Read does. It returns unix.EAGAIN for a transient failure: the kernel reports
+// the descriptor again for as long as it has unread bytes.
 func (l *Loop) Read(fd int, p []byte) (int, error) {
 	n, err := l.Sockets.Read(fd, p)
 	switch {
@@ -31,8 +31,8 @@
 	return n, err
 }
 
-// Write writes what fits into the kernel's buffer, as Sockets.Write does. A transient failure is the same as a full
-// buffer.
+// Write writes as many bytes as fit into the kernel's send buffer, as Sockets.Write does. A transient failure is
+// treated like a full buffer: Write returns zero bytes without an error.
 func (l *Loop) Write(fd int, p []byte) (int, error) {
 	n, err := l.Sockets.Write(fd, p)
 	if err != nil && (isTransient(err) || err == unix.EAGAIN) {
@@ -41,26 +41,29 @@
 	return n, err
 }
 
-// markUnread records that a descriptor may have unread bytes, which may have been received in this turn.
+// markUnread records that a descriptor may have unread bytes, the first of which may have been received in the current
+// turn.
 func (l *Loop) markUnread(fd int) {
 	if fd < len(l.watches) && l.watches[fd].unreadSince == 0 {
 		l.watches[fd].unreadSince = l.earliestArrival
 	}
 }
 
-// MarkRead records that all bytes that a descriptor has received are read, or are of no interest.
+// MarkRead records that all bytes that a descriptor has received are read or not needed.
 func (l *Loop) MarkRead(fd int) {
 	if fd < len(l.watches) {
 		l.watches[fd].unreadSince = 0
 	}
 }
 
-// MarkUnreadSince records that what a descriptor receives may have been received since a time, in milliseconds; 0 is
-// unknown.
+// MarkUnreadSince records that the unread bytes of a descriptor may have been received at a time in milliseconds or
+// later. A time of 0 means that it is unknown.
 func (l *Loop) MarkUnreadSince(fd int, since float64) { l.watches[fd].unreadSince = since }
 
-// EarliestArrivalAt is EarliestArrival for what is read from one descriptor. Bytes that are read in several turns, or
-// reported late as the kernel had no memory for a watch, may have been received in the first of these turns.
+// EarliestArrivalAt returns the earliest time at which the unread bytes of one descriptor may have been received, in
+// milliseconds. It is earlier than EarliestArrival if the bytes are read over several turns, or if they were reported
+// late because the kernel had no memory to watch the descriptor: they may have been received in the first of these
+// turns.
 func (l *Loop) EarliestArrivalAt(fd int) float64 {
 	if since := l.watches[fd].unreadSince; since != 0 {
 		return min(since, l.earliestArrival)
--- a/internal/loop/kernel.go
+++ b/internal/loop/kernel.go
@@ -6,54 +6,58 @@
 	"golang.org/x/sys/unix"
 )
 
-// The events of a descriptor.
+// Readiness events of a descriptor, as bits of an event mask.
 const (
-	Readable = unix.EPOLLIN                  // there is something to read
-	Writable = unix.EPOLLOUT                 // something can be written
+	Readable = unix.EPOLLIN                  // received bytes, the end of the stream or a new connection are pending
+	Writable = unix.EPOLLOUT                 // the kernel's send buffer has space, or a connect has completed
 	HangUp   = unix.EPOLLRDHUP               // the peer has closed the connection or its writing side
-	Failed   = unix.EPOLLERR | unix.EPOLLHUP // the socket has an error or both sides are closed; always reported
+	Failed   = unix.EPOLLERR | unix.EPOLLHUP // the socket has an error or both directions are closed; always reported
 )
 
-// Event says that a descriptor is ready: Fd is the descriptor, Pad the generation under which it was added.
+// Event reports that a descriptor is ready. Fd is the descriptor, Pad is the generation that was passed to Kernel.Add
+// or Kernel.Modify.
 type Event = unix.EpollEvent
 
-// Sockets are the calls on sockets. None blocks. Errors are those of package unix. The caller owns the descriptors that
-// they return.
+// Sockets is the interface for socket calls. No call blocks. Errors are those of package unix. The caller owns the
+// descriptors that the calls return.
 type Sockets interface {
 	// Listen returns a listening socket.
 	Listen(netip.AddrPort) (int, error)
-	// StopQueueing stops the establishment of new connections at a listening socket that no other process has.
-	// Established ones can still be accepted. Without support of the kernel it has no effect.
+	// StopQueueing makes a listening socket ignore new connection requests, unless another process also has the
+	// socket. Established connections can still be accepted. If the kernel does not support it, it has no effect.
 	StopQueueing(fd int)
-	// Connect begins a connection. When the socket is writable it is established or has failed, see SocketError.
+	// Connect starts a non-blocking connect. Once the socket is writable, the connection is established or has
+	// failed; SocketError tells which.
 	Connect(netip.AddrPort) (int, error)
-	// Accept accepts an established connection. unix.EAGAIN says that there is none.
+	// Accept accepts an established connection. It returns unix.EAGAIN if there is none.
 	Accept(fd int) (int, error)
-	// SocketError returns the pending error of a socket, nil if there is none.
+	// SocketError returns the pending error of a socket, or nil if there is none.
 	SocketError(fd int) error
-	// Read reads what was received. Zero bytes without an error are the end of the stream. unix.EAGAIN says that
-	// nothing was received.
+	// Read reads received bytes. Zero bytes without an error mean the end of the stream. Read returns unix.EAGAIN if
+	// there are no bytes to read.
 	Read(fd int, p []byte) (int, error)
-	// Write writes what fits into the kernel's buffer. Zero bytes without an error say that it is full.
+	// Write writes as many bytes as fit into the kernel's send buffer. Zero bytes without an error mean that the
+	// buffer is full.
 	Write(fd int, p []byte) (int, error)
-	// IdleOpen reports whether a connection is open and nothing was received that is not read.
+	// IdleOpen reports whether a connection is open and has no unread bytes.
 	IdleOpen(fd int) bool
-	// PeerClosed reports whether the peer has closed its writing side or the connection is broken, even if there is
-	// something to read.
+	// PeerClosed reports whether the peer has closed its writing side or the connection is broken. It also detects
+	// this while there are unread bytes.
 	PeerClosed(fd int) bool
 	// CloseWrite closes the writing side of a connection.
 	CloseWrite(fd int)
 }
 
-// Kernel is what a loop runs on: the operating system, or a simulation of it.
+// Kernel is the interface of a loop to the operating system or to a simulation of it.
 type Kernel interface {
 	Sockets
-	// Now returns the time of a clock that never goes back, in milliseconds. It begins with Unix time and is not
-	// affected by later changes of the machine's clock.
+	// Now returns the time of a monotonic clock, in milliseconds. The clock starts at the Unix time and is not
+	// affected by later steps of the wall clock.
 	Now() float64
-	// Wall returns the time of the machine's clock, in milliseconds of Unix time. It may be set forward and back.
+	// Wall returns the time of the wall clock, in milliseconds of Unix time. The wall clock may be stepped forward
+	// and back.
 	Wall() float64
-	// Add begins to watch a descriptor for events. They are reported with the generation.
+	// Add starts watching a descriptor for events. They are reported with the generation.
 	Add(fd int, events uint32, generation int32) error
 	// Modify replaces the events and the generation of a watched descriptor.
 	Modify(fd int, events uint32, generation int32) error
@@ -61,9 +65,9 @@
 	Remove(fd int)
 	// Close closes a descriptor and stops watching it.
 	Close(fd int)
-	// Wait waits until descriptors are ready, Wake is called or a timeout in milliseconds has passed; -1 is none. It
-	// returns how many events it has stored.
+	// Wait blocks until descriptors are ready, Wake is called or a timeout in milliseconds has passed. A timeout of -1
+	// means no timeout. Wait returns the number of events that it has stored.
 	Wait(events []Event, timeout int) (int, error)
-	// Wake ends a Wait. It may be called from any goroutine.
+	// Wake makes the current or the next Wait return at once. It may be called from any goroutine.
 	Wake()
 }
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,8 +1,8 @@
-// Package loop is the event loop of the program: it waits for descriptors and timers and calls their handlers, all on
-// one goroutine. It runs on a Kernel, which is that of the operating system (package epoll) or a simulated one with a
-// virtual clock; the loop is the same on both.
+// Package loop implements the event loop of the program. The loop waits for ready descriptors and due timers and calls
+// their handlers, all on one goroutine. It runs on a Kernel: that of the operating system (package epoll), or a
+// simulated one with a virtual clock. The loop itself is the same on both.
 //
-// The user of a loop owns the descriptors that it adds and closes them by Close.
+// The user of a loop owns the descriptors that it adds to the loop, and closes them with Loop.Close.
 package loop
 
 import (
@@ -15,28 +15,29 @@
 
 const (
 	maxEventsPerTurn = 512
-	minBlockingWait  = 0.5   // ms; a wait that returns earlier had its events at hand
-	maxOversleep     = 5.0   // ms beyond the timeout of a wait; a longer wait means that the process had no core
+	minBlockingWait  = 0.5   // ms; a shorter wait did not block, as its events were pending when it started
+	maxWaitOverrun   = 5.0   // ms beyond the timeout of a wait; a longer wait means that the process was not scheduled
 	maxWaitTimeout   = 60000 // ms
 )
 
-// Handler handles readiness of a descriptor.
+// Handler handles the readiness events of a descriptor.
 type Handler interface {
+	// Ready is called with the events that have occurred, as a mask of Readable, Writable, HangUp and Failed.
 	Ready(events uint32)
 }
 
-// Loop waits for descriptors and timers and calls their handlers.
+// Loop waits for ready descriptors and due timers and calls their handlers.
 type Loop struct {
 	Sockets
 	Timers timer.Heap
 
 	kernel          Kernel
-	watches         []watch // by descriptor
-	unsynced        map[int]struct{}
+	watches         []watch          // indexed by descriptor
+	unsynced        map[int]struct{} // descriptors whose events the kernel had no memory to watch for
 	events          [maxEventsPerTurn]Event
-	lastWaitEnd     float64 // ms, by the kernel's clock
-	earliestArrival float64 // ms, of what the present turn handles
-	maxWait         int     // ms, 0: no bound
+	lastWaitEnd     float64 // ms, on the kernel's monotonic clock
+	earliestArrival float64 // ms; the events of the current turn were received at this time or later
+	maxWait         int     // ms; 0 means that the duration of a wait is not limited
 	stopped         bool
 
 	hasPosted atomic.Bool
@@ -44,7 +45,7 @@
 	posted    []func()
 }
 
-// New returns a loop on a kernel, which its caller owns and releases after Run.
+// New returns a loop that runs on a kernel. The caller owns the kernel and releases it after Run has returned.
 func New(k Kernel) *Loop {
 	now := k.Now()
 	return &Loop{
@@ -56,28 +57,29 @@
 	}
 }
 
-// Now returns the time of the clock that never goes back, in milliseconds.
+// Now returns the time of the kernel's monotonic clock, in milliseconds.
 func (l *Loop) Now() float64 { return l.kernel.Now() }
 
-// Wall returns the time of the machine's clock, in milliseconds, to compare with times of other machines. It may be set
-// forward and back.
+// Wall returns the time of the wall clock, in milliseconds of Unix time, for comparison with times of other machines.
+// The wall clock may be stepped forward and back.
 func (l *Loop) Wall() float64 { return l.kernel.Wall() }
 
-// LimitWait bounds the duration of one wait, in milliseconds. A process that loses its core during a wait can't tell
-// when the events that it finds were received, only that the wait took longer than its timeout.
+// LimitWait sets the longest timeout of a wait, in milliseconds. If the process is not scheduled during a wait, the
+// loop cannot tell when the events were received, only that the wait took longer than its timeout.
 func (l *Loop) LimitWait(timeout int) { l.maxWait = timeout }
 
-// EarliestArrival returns the earliest time at which the events of this turn may have been received. Events that a wait
-// blocked for were received at its end. Others may have been received at any time of the turn before, which is long if
-// the process lost its core, or during a wait that took longer than its timeout.
+// EarliestArrival returns the earliest time at which the events of the current turn may have been received, in
+// milliseconds. If the wait blocked, its events were received when it ended. If it did not block, they may have been
+// received at any time since the wait of the previous turn ended, which is long ago if the process was not scheduled in
+// between. If the wait took longer than its timeout, they may have been received at any time during the wait.
 func (l *Loop) EarliestArrival() float64 { return l.earliestArrival }
 
-// After calls a function when a duration has passed, in milliseconds.
+// After calls a function once a duration in milliseconds has passed, unless the returned timer is stopped before.
 func (l *Loop) After(duration float64, do func()) *timer.Timer {
 	return l.Timers.Set(l.Now()+duration, do)
 }
 
-// Post runs a function on the loop. It may be called from any goroutine, as no other method may.
+// Post runs a function on the loop. It is the only method that may be called from any goroutine.
 func (l *Loop) Post(do func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, do)
@@ -86,7 +88,7 @@
 	l.kernel.Wake()
 }
 
-// Stop ends Run after this turn.
+// Stop makes Run return after the current turn.
 func (l *Loop) Stop() { l.stopped = true }
 
 // Stopped reports whether Stop was called.
@@ -102,8 +104,9 @@
 	return nil
 }
 
-// Turn waits once and handles ready descriptors, posted functions and timers, in this order. It runs the timers that
-// were due at the end of the wait, so that what was received is handled before a timeout decides that nothing was.
+// Turn runs one iteration of the loop: it waits once, and then handles ready descriptors, posted functions and due
+// timers, in this order. Only timers that were due when the wait ended run, so that received bytes are handled before a
+// timeout decides that none were received.
 func (l *Loop) Turn() error {
 	waitStart := l.Now()
 	timeout := l.WaitTimeout()
@@ -120,12 +123,13 @@
 	return nil
 }
 
-// recordWait updates the earliest arrival of events after a wait.
+// recordWait updates the earliest arrival of events after a wait. start, end and timeout are in milliseconds; a timeout
+// of -1 means no timeout.
 func (l *Loop) recordWait(start, end float64, timeout int) {
 	switch duration := end - start; {
 	case duration <= minBlockingWait:
 		l.earliestArrival = l.lastWaitEnd
-	case timeout >= 0 && duration > float64(timeout)+maxOversleep:
+	case timeout >= 0 && duration > float64(timeout)+maxWaitOverrun:
 		l.earliestArrival = start
 	default:
 		l.earliestArrival = end
@@ -133,7 +137,8 @@
 	l.lastWaitEnd = end
 }
 
-// WaitTimeout returns how long the next turn may wait, in milliseconds, rounded up; -1 is without end.
+// WaitTimeout returns the timeout of the next turn's wait, in milliseconds, rounded up. It returns -1 if no timer is
+// set and the duration of a wait is not limited.
 func (l *Loop) WaitTimeout() int {
 	timeout := -1
 	if due, ok := l.Timers.Next(); ok {
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// What was there when the wait began may have been received at any time of the turn before.
+// Events that are pending when a wait starts may have been received at any time since the previous wait ended.
 func TestEarliestArrival(t *testing.T) {
 	l := newLoop(t)
 	fd, peer := socketPair(t)
@@ -43,7 +43,7 @@
 	}
 }
 
-// A long turn must not cause timeouts of what was received in it: descriptors are handled before timers.
+// Bytes that are received during a long turn must not time out: the next turn handles descriptors before timers.
 func TestDescriptorsBeforeTimers(t *testing.T) {
 	l := newLoop(t)
 	order := ""
@@ -54,7 +54,7 @@
 		order += "read "
 	}))
 	l.Post(func() {
-		due := nextTime(l, l.LastWaitEnd()) // after the descriptors of this turn were handled
+		due := nextTime(l, l.LastWaitEnd()) // later than the end of this turn's wait: the next turn runs the timer
 		l.Timers.Set(due, func() { order += "timer " })
 		send(t, peer)
 		nextTime(l, due)
@@ -66,7 +66,7 @@
 	}
 }
 
-// nextTime waits until the clock is beyond a time, and returns the new one.
+// nextTime waits until the clock is past a time, and returns the new time.
 func nextTime(l *loop.Loop, after float64) float64 {
 	now := l.Now()
 	for now <= after {
--- a/internal/loop/quota.go
+++ b/internal/loop/quota.go
@@ -3,39 +3,40 @@
 import "salttrack/internal/invariant"
 
 const (
-	reservedPart        = 4 // a quarter of the descriptors is never taken by one user alone
-	nearlyExhaustedPart = 8 // of a limit: with no more than that free, it is nearly exhausted
+	reservedDivisor        = 4 // a quarter of the descriptors is out of reach of any single user
+	nearlyExhaustedDivisor = 8 // a limit is nearly exhausted when at most an eighth of it is free
 )
 
-// DescriptorLimiter divides the descriptors for connections between their users. No user gets all of them: a client
-// connection is of no use without one to an upstream, nor the other way round.
+// DescriptorLimiter limits the number of open connections, each of which has one descriptor, and divides the
+// descriptors between several users. No user gets all of them: a client connection is useless without a connection to
+// an upstream, and vice versa.
 type DescriptorLimiter struct {
 	limit       int
 	maxPerQuota int
 	quotas      []*DescriptorQuota
 }
 
-// DescriptorQuota is the part of one user of a table.
+// DescriptorQuota counts the descriptors that one user of a DescriptorLimiter has.
 type DescriptorQuota struct {
-	table    *DescriptorLimiter
-	open     int
-	shedIdle func() bool
+	limiter  *DescriptorLimiter
+	inUse    int
+	shedIdle func() bool // closes an idle connection of the user and reports whether there was one
 }
 
-// NewDescriptorLimiter returns a table for a number of connections.
+// NewDescriptorLimiter returns a limiter for a number of open connections.
 func NewDescriptorLimiter(limit int) *DescriptorLimiter {
 	return &DescriptorLimiter{limit: limit, maxPerQuota: maxPerQuota(limit)}
 }
 
-// maxPerQuota is three quarters of all connections.
-func maxPerQuota(limit int) int { return limit - limit/reservedPart }
+// maxPerQuota returns the number of descriptors that one user may have: three quarters of the limit.
+func maxPerQuota(limit int) int { return limit - limit/reservedDivisor }
 
-// SetLimit changes the number of connections. Idle ones beyond it are closed.
-func (t *DescriptorLimiter) SetLimit(limit int) {
-	t.limit = limit
-	t.maxPerQuota = maxPerQuota(limit)
-	for _, q := range t.quotas {
-		for t.isExceededBy(q) {
+// SetLimit changes the limit on open connections. If more are open, idle ones are closed.
+func (l *DescriptorLimiter) SetLimit(limit int) {
+	l.limit = limit
+	l.maxPerQuota = maxPerQuota(limit)
+	for _, q := range l.quotas {
+		for l.isExceededBy(q) {
 			if !q.shedIdle() {
 				break
 			}
@@ -43,57 +44,58 @@
 	}
 }
 
-func (t *DescriptorLimiter) isExceededBy(q *DescriptorQuota) bool {
-	return t.InUse() > t.limit || q.open > t.maxPerQuota
+func (l *DescriptorLimiter) isExceededBy(q *DescriptorQuota) bool {
+	return l.InUse() > l.limit || q.inUse > l.maxPerQuota
 }
 
-// NewQuota adds a user. Its function closes one of its idle connections and reports whether there was one; the users are
-// asked in the order in which they were added.
-func (t *DescriptorLimiter) NewQuota(shedIdle func() bool) *DescriptorQuota {
-	q := &DescriptorQuota{table: t, shedIdle: shedIdle}
-	t.quotas = append(t.quotas, q)
+// NewQuota adds a user of the descriptors and returns its quota. The function shedIdle closes one idle connection of
+// the user and reports whether there was one. If a descriptor is needed, the functions are called in the order in which
+// the users were added.
+func (l *DescriptorLimiter) NewQuota(shedIdle func() bool) *DescriptorQuota {
+	q := &DescriptorQuota{limiter: l, shedIdle: shedIdle}
+	l.quotas = append(l.quotas, q)
 	return q
 }
 
-// InUse returns the number of connections of all users.
-func (t *DescriptorLimiter) InUse() int {
-	open := 0
-	for _, q := range t.quotas {
-		open += q.open
+// InUse returns the number of descriptors that all users have acquired and not released.
+func (l *DescriptorLimiter) InUse() int {
+	inUse := 0
+	for _, q := range l.quotas {
+		inUse += q.inUse
 	}
-	return open
+	return inUse
 }
 
-// Acquire reserves a descriptor for one more connection and reports whether there is one. Idle connections are closed
-// for it if there is none.
+// Acquire reserves a descriptor for one more connection and reports whether there was one. If none is free, it closes
+// idle connections to free one.
 func (q *DescriptorQuota) Acquire() bool {
-	if q.open >= q.table.maxPerQuota && !q.shedIdle() {
+	if q.inUse >= q.limiter.maxPerQuota && !q.shedIdle() {
 		return false
 	}
-	for _, other := range q.table.quotas {
-		if q.table.InUse() < q.table.limit {
+	for _, other := range q.limiter.quotas {
+		if q.limiter.InUse() < q.limiter.limit {
 			break
 		}
 		other.shedIdle()
 	}
-	if q.table.InUse() >= q.table.limit {
+	if q.limiter.InUse() >= q.limiter.limit {
 		return false
 	}
-	q.open++
+	q.inUse++
 	return true
 }
 
-// Release returns the descriptor of a connection.
+// Release returns the descriptor of a connection that was closed, or was never opened.
 func (q *DescriptorQuota) Release() {
-	q.open--
-	invariant.Check(q.open >= 0, "no more descriptors are released than were acquired")
+	q.inUse--
+	invariant.Check(q.inUse >= 0, "no more descriptors are released than were acquired")
 }
 
-// InUse returns the number of connections of the user.
-func (q *DescriptorQuota) InUse() int { return q.open }
+// InUse returns the number of descriptors that the user has acquired and not released.
+func (q *DescriptorQuota) InUse() int { return q.inUse }
 
-// NearlyExhausted reports whether descriptors are so few that the user should close connections when it can.
+// NearlyExhausted reports whether so few descriptors are free that the user should close connections where it can.
 func (q *DescriptorQuota) NearlyExhausted() bool {
-	t := q.table
-	return q.open >= t.maxPerQuota-t.maxPerQuota/nearlyExhaustedPart || t.InUse() >= t.limit-t.limit/nearlyExhaustedPart
+	l := q.limiter
+	return q.inUse >= l.maxPerQuota-l.maxPerQuota/nearlyExhaustedDivisor || l.InUse() >= l.limit-l.limit/nearlyExhaustedDivisor
 }
--- a/internal/loop/quota_test.go
+++ b/internal/loop/quota_test.go
@@ -6,56 +6,56 @@
 	"salttrack/internal/loop"
 )
 
-// connections is a user of a table with a number of idle connections.
-type connections struct {
+// quotaUser is a user of descriptors that has a number of idle connections.
+type quotaUser struct {
 	quota *loop.DescriptorQuota
 	idle  int
 }
 
-func newConnections(table *loop.DescriptorLimiter) *connections {
-	c := &connections{}
-	c.quota = table.NewQuota(func() bool {
-		if c.idle == 0 {
+func newQuotaUser(limiter *loop.DescriptorLimiter) *quotaUser {
+	u := &quotaUser{}
+	u.quota = limiter.NewQuota(func() bool {
+		if u.idle == 0 {
 			return false
 		}
-		c.idle--
-		c.quota.Release()
+		u.idle--
+		u.quota.Release()
 		return true
 	})
-	return c
+	return u
 }
 
-// acquireAll acquires the descriptors of a table of eight: six of a, two of b.
-func acquireAll(t *testing.T, a, b *connections) {
+// acquireAll acquires all descriptors of a limiter for eight: six for a and two for b.
+func acquireAll(t *testing.T, a, b *quotaUser) {
 	t.Helper()
 	for i := range 6 {
 		if a.quota.NearlyExhausted() || !a.quota.Acquire() {
-			t.Errorf("exhausted with %d of 8", i)
+			t.Errorf("nearly exhausted or not acquired with %d of 8 descriptors in use", i)
 		}
 	}
 	if a.quota.Acquire() {
-		t.Error("one user gets more than three quarters")
+		t.Error("one user acquires more than three quarters of the descriptors")
 	}
 	for i, want := range []bool{true, true, false} {
 		if got := b.quota.Acquire(); got != want {
-			t.Errorf("descriptor %d of the other user: %v", i, got)
+			t.Errorf("the other user acquires descriptor %d: %v, want %v", i, got, want)
 		}
 	}
 }
 
 func TestQuota(t *testing.T) {
-	table := loop.NewDescriptorLimiter(8)
-	a, b := newConnections(table), newConnections(table)
+	limiter := loop.NewDescriptorLimiter(8)
+	a, b := newQuotaUser(limiter), newQuotaUser(limiter)
 	acquireAll(t, a, b)
-	if table.InUse() != 8 {
-		t.Errorf("%d are open", table.InUse())
+	if limiter.InUse() != 8 {
+		t.Errorf("%d descriptors are in use, want 8", limiter.InUse())
 	}
 	a.idle = 1
-	if !b.quota.Acquire() || a.idle != 0 || table.InUse() != 8 || !b.quota.NearlyExhausted() {
+	if !b.quota.Acquire() || a.idle != 0 || limiter.InUse() != 8 || !b.quota.NearlyExhausted() {
 		t.Error("an idle connection of the other user is not closed for a new one")
 	}
 	b.idle = 1
-	if !b.quota.Acquire() || b.idle != 0 || table.InUse() != 8 {
+	if !b.quota.Acquire() || b.idle != 0 || limiter.InUse() != 8 {
 		t.Error("an idle connection of the same user is not closed for a new one")
 	}
 	b.quota.Release()
--- a/internal/loop/watch.go
+++ b/internal/loop/watch.go
@@ -10,21 +10,22 @@
 	"salttrack/internal/invariant"
 )
 
-// watchRetryInterval is the time after which a watch is repeated that the kernel had no memory for, in milliseconds.
+// watchRetryInterval is the time in milliseconds after which the loop retries to watch a descriptor that the kernel had
+// no memory for.
 const watchRetryInterval = 5.0
 
-// watch is what the loop knows of a descriptor.
+// watch is the state of one descriptor in the loop.
 type watch struct {
 	handler     Handler // nil if the descriptor is not watched
-	generation  int32   // tells events of a closed descriptor from those of a new one with the same number
+	generation  int32   // distinguishes events of a closed descriptor from those of a new one with the same number
 	events      uint32
-	prioritized bool
-	paused      bool
-	registered  bool    // the kernel watches it
-	unreadSince float64 // the earliest time at which unread bytes may have been received, 0 if all were read
+	prioritized bool    // its handler runs before those of all other descriptors
+	paused      bool    // no events are reported, not even errors
+	registered  bool    // the kernel watches the descriptor
+	unreadSince float64 // ms; the earliest time at which unread bytes may have been received, 0 if all bytes were read
 }
 
-// Add begins to watch a descriptor for events.
+// Add starts watching a descriptor for events, which are passed to a handler.
 func (l *Loop) Add(fd int, events uint32, h Handler) error {
 	for fd >= len(l.watches) {
 		l.watches = append(l.watches, watch{})
@@ -38,10 +39,12 @@
 	return nil
 }
 
-// Prioritize lets the handler of a descriptor run before those of all others that are ready in the same turn.
+// Prioritize makes the handler of a descriptor run before those of all other descriptors that are ready in the same
+// turn.
 func (l *Loop) Prioritize(fd int) { l.watches[fd].prioritized = true }
 
-// Watch replaces the events that a descriptor is watched for, and ends a pause.
+// Watch replaces the events that a descriptor is watched for, and ends a pause. It has no effect on a descriptor that
+// is not watched.
 func (l *Loop) Watch(fd int, events uint32) {
 	w := &l.watches[fd]
 	if w.handler == nil || w.events == events && !w.paused {
@@ -50,11 +53,11 @@
 	w.events = events
 	w.paused = false
 	err := l.sync(fd)
-	invariant.Check(err == nil, "a watch fails for want of memory only")
+	invariant.Check(err == nil, "a descriptor can be watched unless the kernel has no memory")
 }
 
-// Pause stops reporting events of a descriptor until Watch is called. It also stops errors, which Watch without events
-// does not: the kernel reports them in each turn until they are read.
+// Pause stops reporting events of a descriptor, errors included, until Watch is called. Watch with an empty event mask
+// does not stop errors: the kernel reports them in each turn until they are read.
 func (l *Loop) Pause(fd int) {
 	w := &l.watches[fd]
 	if w.handler == nil || w.paused {
@@ -67,8 +70,8 @@
 	}
 }
 
-// Close closes a descriptor and stops watching it, if it is watched. Its events that this turn has not handled yet are
-// dropped.
+// Close closes a descriptor and stops watching it, if it is watched. Events of the descriptor that the current turn has
+// not handled yet are dropped.
 func (l *Loop) Close(fd int) {
 	if fd < len(l.watches) {
 		w := &l.watches[fd]
@@ -109,7 +112,8 @@
 	}
 }
 
-// sync passes the events of a descriptor to the kernel. If the kernel has no memory for it, it is repeated later.
+// sync makes the kernel watch a descriptor for its events. If the kernel has no memory, sync returns nil and the loop
+// retries after watchRetryInterval.
 func (l *Loop) sync(fd int) error {
 	w := &l.watches[fd]
 	var err error
@@ -126,15 +130,15 @@
 		return err
 	}
 	if len(l.unsynced) == 0 {
-		l.After(watchRetryInterval, l.syncAgain)
+		l.After(watchRetryInterval, l.retrySync)
 	}
 	l.unsynced[fd] = struct{}{}
 	l.markUnread(fd)
 	return nil
 }
 
-// syncAgain repeats what the kernel had no memory for.
-func (l *Loop) syncAgain() {
+// retrySync calls sync again for the descriptors that the kernel had no memory to watch.
+func (l *Loop) retrySync() {
 	unsynced := slices.Sorted(maps.Keys(l.unsynced))
 	clear(l.unsynced)
 	for _, fd := range unsynced {
@@ -144,9 +148,9 @@
 	}
 }
 
-// dropStaleWatch handles an event that the descriptor is not watched for any more, as the kernel could not take the
-// change. The kernel would report it in each turn, so its watch is removed until the change is repeated; that takes no
-// memory.
+// dropStaleWatch handles an event that a descriptor is no longer watched for, if the kernel still reports it because it
+// had no memory for the change of events. As the kernel would report the event in each turn, the loop removes the
+// descriptor from the kernel until it retries the change. The removal needs no memory.
 func (l *Loop) dropStaleWatch(fd int) {
 	if _, ok := l.unsynced[fd]; ok && l.watches[fd].registered {
 		l.watches[fd].registered = false
@@ -154,8 +158,8 @@
 	}
 }
 
-// isTransient reports whether a call failed as the system is short of memory, or was interrupted: the same call may
-// succeed a moment later, and the descriptor is unchanged.
+// isTransient reports whether a call failed because it was interrupted or the kernel was short of memory. The same call
+// may succeed later, and the descriptor is unchanged.
 func isTransient(err error) bool {
 	return errors.Is(err, unix.EINTR) || errors.Is(err, unix.ENOBUFS) || errors.Is(err, unix.ENOMEM)
 }
--- a/internal/loop/watch_test.go
+++ b/internal/loop/watch_test.go
@@ -6,7 +6,8 @@
 	"salttrack/internal/loop"
 )
 
-// A descriptor that takes the number of one that was closed in the same turn must not get its events.
+// A new descriptor may get the number of one that was closed in the same turn. It must not get the events of the closed
+// one.
 func TestEventOfClosedDescriptor(t *testing.T) {
 	l := newLoop(t)
 	a, peerA := socketPair(t)
@@ -16,7 +17,7 @@
 		return func(uint32) {
 			oldCalls++
 			l.Close(*other)
-			c, _ := socketPair(t) // takes the lowest number, which is that of the closed one
+			c, _ := socketPair(t) // the kernel uses the lowest free number, which is that of the closed descriptor
 			if c != *other {
 				t.Skip("the kernel gave another number")
 			}
@@ -33,7 +34,8 @@
 	}
 }
 
-// Endpoint updates are handled before events that may cause an attempt.
+// The handler of a prioritized descriptor runs before all others, and all handlers run before timers. The balancer
+// relies on it to apply endpoint updates before it starts attempts in the same turn.
 func TestPrioritize(t *testing.T) {
 	for range 5 {
 		l := newLoop(t)
--- a/internal/node/config_errors_test.go
+++ b/internal/node/config_errors_test.go
@@ -48,7 +48,7 @@
 		{`"limits":{"cores":1.0,"memory_mb":64,"sockets":384}`, `"limits":[]`, "json: cannot unmarshal array into Go struct field file.limits of type node.Limits"},
 		{`"seed":"8c1f"`, `"seed":"any text"`, ""},
 		{`"seed":"8c1f"`, `"seed":7`, "json: cannot unmarshal number into Go struct field file.seed of type string"},
-		{`"members":[]`, `"members":[{"id":"s","phase":"asleep"}]`, `known: discovery: member "s": unknown phase "asleep"`},
+		{`"members":[]`, `"members":[{"id":"s","phase":"asleep"}]`, `known: discovery: member "s": unknown phase "asleep", want in_service, terminating or terminated`},
 		{`"known":{"revision":0,"complete":true,"members":[]}`, `"known":null`, ""},
 		{`"settings":{`, `"other":{`, "settings are missing"},
 		{`"settings":{`, `"settings":[1],"other":{`, "settings: json: cannot unmarshal array into Go value of type map[string]interface {}"},
--- a/internal/upstream/cancel_test.go
+++ b/internal/upstream/cancel_test.go
@@ -8,7 +8,7 @@
 	"salttrack/internal/exchange"
 )
 
-// Cancelling an attempt closes its connection, on which the response is still to be received.
+// Cancelling an attempt closes its connection, as the response to the cancelled request could still be received on it.
 func TestCancel(t *testing.T) {
 	r := newRig(t, manyDescriptors)
 	u := newUpstream(t, r)
@@ -19,15 +19,16 @@
 		r.pool.Cancel(a)
 		r.pool.Cancel(a)
 	})
-	if _, err := c.in.ReadByte(); err != io.EOF {
+	if _, err := c.reader.ReadByte(); err != io.EOF {
 		t.Errorf("the upstream reads %v", err)
 	}
 	if r.CounterValue("upstream_connections_open") != 0 || len(r.ended) != 0 {
-		t.Error("a cancelled attempt is kept, or ends again")
+		t.Error("the connection of a cancelled attempt is open, or AttemptEnded was called for the attempt")
 	}
 }
 
-// An attempt of which nothing is sent ends as not sent when its upstream is disabled. One that was sent goes on.
+// CancelUnsent, which is called when an upstream is disabled, ends an attempt of which nothing was sent with the
+// outcome NotSent. An attempt that was sent continues.
 func TestCancelUnsent(t *testing.T) {
 	r := newRig(t, manyDescriptors)
 	u := newUpstream(t, r)
@@ -39,7 +40,7 @@
 	r.Do(func() {
 		unsent = r.begin(x, attemptTimeout)
 		r.pool.CancelUnsent(1)
-		r.pool.CancelUnsent(2) // unknown
+		r.pool.CancelUnsent(2) // an unknown upstream
 	})
 	r.checkOutcome(unsent, "connecting", balance.NotSent)
 	c.respond(emptyResponse)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,12 +14,12 @@
 // connState is the state of a connection.
 type connState uint8
 
-// A connection is connecting, then alternates between active and idle until it is closed.
+// States of a connection. It starts as connecting, then alternates between active and idle until it is closed.
 const (
-	stateConnecting connState = iota // for an attempt of which nothing is sent
-	stateActive                      // has an attempt
-	stateDetached                    // its attempt has ended, and it becomes idle or closed at once
-	stateIdle                        // may be used by the next attempt
+	stateConnecting connState = iota // not established yet; it has an attempt, of which nothing is sent
+	stateActive                      // established; it has an attempt
+	stateDetached                    // its attempt has ended; it becomes idle or closed right after
+	stateIdle                        // established; it has no attempt and may be reused
 	stateClosed
 )
 
@@ -27,45 +27,45 @@
 type conn struct {
 	pool     *Pool
 	endpoint *endpoint
-	process  process // that the connection leads to
+	process  process // the process of the upstream that the connection was opened to
 	fd       int
 	state    connState
-	timer    *timer.Timer // connect, stall or idle timeout by the state, nil if there is none
+	timer    *timer.Timer // connect, stall or idle timeout, depending on the state; nil if there is none
 
-	// of stateConnecting and stateActive
+	// The following two fields are set in stateConnecting and stateActive.
 	attempt *exchange.Attempt
 	request requestWriter
 
-	// of stateActive
+	// The following four fields are used in stateActive.
 	decoder      *http1.ResponseDecoder
-	stream       *bodystream.Stream // of a long response, nil if there is none
-	lastProgress balance.Millis     // of a long request or response, or when the other side was last waited for
-	reusable     bool               // the response is complete and nothing was received behind it
+	stream       *bodystream.Stream // body of a streamed response, nil if the response is not streamed
+	lastProgress balance.Millis     // when streamed bytes were last transferred or the client was last waited for
+	reusable     bool               // the response is complete and no bytes were received after it
 
 	idle idleState
 }
 
-// begin gives an attempt to a connection that is connecting or was idle.
+// begin assigns an attempt to a connection that is connecting or was idle.
 func (c *conn) begin(a *exchange.Attempt) {
 	free := c.attempt == nil && c.request.sent() && !c.decoder.Started()
 	invariant.Check(free, "a connection has one attempt at a time")
 	c.attempt = a
 	c.reusable = false
 	c.pool.active[a] = c
-	if req := message(a); req.Stream != nil {
+	if req := requestOf(a); req.Stream != nil {
 		c.request.body = http1.NewBodyEncoder(req.Stream, req.Stream.Length < 0)
 		req.Stream.OnReadable(c.send)
 	}
 	if c.state != stateConnecting {
 		c.state = stateActive
-		c.sendHead()
+		c.sendHeader()
 	}
 }
 
-// message returns the request of an attempt.
-func message(a *exchange.Attempt) *http1.Request { return a.Exchange.Message.(*http1.Request) }
+// requestOf returns the HTTP request of an attempt.
+func requestOf(a *exchange.Attempt) *http1.Request { return a.Exchange.Message.(*http1.Request) }
 
-// Ready handles readiness of the descriptor.
+// Ready implements loop.Handler.
 func (c *conn) Ready(events uint32) {
 	if c.state == stateConnecting {
 		c.finishConnect(events)
@@ -78,13 +78,13 @@
 	}
 }
 
-// transfer sends and receives what is possible.
+// transfer sends and receives as many bytes as possible without blocking.
 func (c *conn) transfer(events uint32) {
 	if events&loop.Writable != 0 && !c.request.sent() {
 		c.send()
 	}
 	if events&loop.Failed != 0 && c.stream != nil && c.stream.Available() == 0 {
-		// What was received before the error is read when the client has taken more of the stream.
+		// Bytes that were received before the error are read once the stream's buffer has space again.
 		c.pool.loop.Pause(c.fd)
 		return
 	}
@@ -93,13 +93,13 @@
 	}
 }
 
-// leadsToCurrentProcess reports whether the upstream still is the process that the connection leads to.
+// leadsToCurrentProcess reports whether the upstream is listed and has not restarted since the connection was opened.
 func (c *conn) leadsToCurrentProcess() bool {
 	return !c.endpoint.removed && c.endpoint.process == c.process
 }
 
-// brokenOutcome returns the outcome of an attempt whose connection breaks now. An upstream that did not get the whole
-// request has not run it.
+// brokenOutcome returns the outcome of an attempt whose connection breaks now. An upstream that has not received the
+// whole request has not run it.
 func (c *conn) brokenOutcome() balance.Outcome {
 	if c.attempt.RequestComplete {
 		return balance.ConnectionReset
@@ -107,9 +107,9 @@
 	return balance.ConnectFailed
 }
 
-// detach separates the connection from its attempt. It has to become idle or closed right after.
+// detach separates the connection from its attempt. The caller has to make the connection idle or close it right after.
 func (c *conn) detach() {
-	if body := message(c.attempt).Stream; body != nil {
+	if body := requestOf(c.attempt).Stream; body != nil {
 		body.OnReadable(nil)
 	}
 	delete(c.pool.active, c.attempt)
@@ -119,11 +119,11 @@
 	c.stopTimer()
 	if stream := c.stream; stream != nil {
 		c.stream = nil
-		stream.Truncate() // has no effect on a complete one
+		stream.Truncate() // has no effect on a complete stream
 	}
 }
 
-// end closes the connection and ends its attempt.
+// end closes the connection and ends its attempt with an outcome.
 func (c *conn) end(outcome balance.Outcome) {
 	a := c.attempt
 	c.detach()
@@ -131,7 +131,7 @@
 	c.pool.listener.AttemptEnded(a, exchange.Result{Outcome: outcome})
 }
 
-// close closes a connection that has no attempt.
+// close closes a connection that has no attempt, and releases its descriptor.
 func (c *conn) close(reason trace.Reason) {
 	if c.state == stateClosed {
 		return
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -16,12 +16,12 @@
 	"salttrack/internal/trace"
 )
 
-// connectRetryInterval is the time after which a connect is repeated that failed for a cause on this machine.
+// connectRetryInterval is the time after which a connect that failed with a local error is retried.
 const connectRetryInterval balance.Millis = 5
 
-// connect begins a new connection for an attempt.
+// connect opens a new connection for an attempt.
 func (p *Pool) connect(a *exchange.Attempt, e *endpoint) {
-	if !p.quota.Acquire() { // the upstream is not at fault
+	if !p.quota.Acquire() { // not a failure of the upstream, so the outcome is NotSent
 		p.counters.noDescriptor.Inc()
 		p.listener.AttemptEnded(a, exchange.Result{Outcome: balance.NotSent})
 		return
@@ -30,7 +30,7 @@
 	switch {
 	case err == nil:
 		c.begin(a)
-	case isLocal(err):
+	case isLocalError(err):
 		p.retryConnect(a, e)
 	default:
 		p.quota.Release()
@@ -39,7 +39,7 @@
 	}
 }
 
-// open begins a connection, for which the quota has a descriptor.
+// open starts to connect to an upstream. The caller has acquired a descriptor from the quota.
 func (p *Pool) open(e *endpoint) (*conn, error) {
 	fd, err := p.loop.Connect(e.address)
 	if err != nil {
@@ -65,7 +65,8 @@
 	return c, nil
 }
 
-// finishConnect handles readiness while connecting. The connection becomes active, stays connecting or is closed.
+// finishConnect handles readiness events of a connection that is connecting. The connection becomes active, stays
+// connecting or is closed.
 func (c *conn) finishConnect(events uint32) {
 	p := c.pool
 	if err := p.loop.SocketError(c.fd); err != nil || events&loop.Failed != 0 {
@@ -91,37 +92,38 @@
 		})
 	}
 	c.stopTimer()
-	c.sendHead()
+	c.sendHeader()
 }
 
-// localErrors are errors of socket and connect that have their cause on this machine, not in the upstream. All of them
-// may be transient.
+// localErrors lists the errors of socket and connect calls that are caused by this machine and not by the upstream. All
+// of them may be transient.
 var localErrors = [...]unix.Errno{
 	unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EADDRINUSE,
 	unix.EAGAIN, unix.EINTR, unix.ENETUNREACH, unix.ENETDOWN,
 }
 
-func isLocal(err error) bool {
+func isLocalError(err error) bool {
 	return slices.ContainsFunc(localErrors[:], func(local unix.Errno) bool { return errors.Is(err, local) })
 }
 
-// isUnreachable reports whether this machine has no route to the upstream. While that lasts it is as good as a failure
-// of the upstream: others may be reachable.
+// isUnreachable reports whether this machine has no route to the upstream. If that lasts until the connect timeout, it
+// counts as a failure of the upstream, as other upstreams may be reachable.
 func isUnreachable(err error) bool {
 	return errors.Is(err, unix.ENETUNREACH) || errors.Is(err, unix.ENETDOWN)
 }
 
-// pendingConnect is an attempt whose connection could not be begun for a cause on this machine. It keeps its descriptor
-// of the quota. The connect is repeated for the time of the connect timeout; after that the attempt was not sent, which
-// is no failure of the upstream.
+// pendingConnect is an attempt whose connect failed with a local error. It keeps the descriptor that it has acquired
+// from the quota. The connect is retried until the connect timeout has passed. Then the attempt ends as not sent, which
+// is not a failure of the upstream.
 type pendingConnect struct {
 	pool     *Pool
 	endpoint *endpoint
 	attempt  *exchange.Attempt
 	deadline balance.Millis
-	timer    *timer.Timer // of the next connect
+	timer    *timer.Timer // runs the next retry
 }
 
+// retryConnect retries the connect of an attempt after connectRetryInterval.
 func (p *Pool) retryConnect(a *exchange.Attempt, e *endpoint) {
 	p.counters.localFailures.Inc()
 	pending := &pendingConnect{pool: p, endpoint: e, attempt: a, deadline: p.loop.Now() + p.connectTimeout}
@@ -142,7 +144,7 @@
 	case err == nil:
 		delete(p.pending, s.attempt)
 		c.begin(s.attempt)
-	case !isLocal(err):
+	case !isLocalError(err):
 		s.end(balance.ConnectFailed)
 	case p.loop.Now() < s.deadline:
 		p.counters.localFailures.Inc()
@@ -154,7 +156,7 @@
 	}
 }
 
-// remove forgets the attempt and releases its descriptor of the quota.
+// remove stops the retries and releases the descriptor.
 func (s *pendingConnect) remove() {
 	s.pool.loop.Timers.Stop(s.timer)
 	delete(s.pool.pending, s.attempt)
@@ -166,7 +168,7 @@
 	s.pool.listener.AttemptEnded(s.attempt, exchange.Result{Outcome: outcome})
 }
 
-// pendingConnects returns the pending connects in the order of their attempts.
+// pendingConnects returns the pending connects, sorted by the start time of their attempts and then by exchange id.
 func (p *Pool) pendingConnects() []*pendingConnect {
 	return slices.SortedFunc(maps.Values(p.pending), func(a, b *pendingConnect) int {
 		return cmp.Or(
--- a/internal/upstream/connect_test.go
+++ b/internal/upstream/connect_test.go
@@ -21,7 +21,7 @@
 	r.checkOutcome(r.start("x"), "unknown upstream", balance.ConnectFailed)
 }
 
-// fullListener returns the address of a listener whose queue is full, so that connects to it get no reply.
+// fullListener returns the address of a listener whose accept queue is full, so that connects to it get no reply.
 func fullListener(t *testing.T) netip.AddrPort {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -46,7 +46,7 @@
 	return address
 }
 
-// A machine that is unreachable replies to no connect.
+// A connect that gets no reply, as from an unreachable machine, fails after the connect timeout.
 func TestConnectTimeout(t *testing.T) {
 	address := fullListener(t)
 	r := newRig(t, manyDescriptors)
@@ -54,14 +54,14 @@
 	a := r.start("x")
 	r.checkOutcome(a, "no reply", balance.ConnectFailed)
 	if a.RequestComplete {
-		t.Error("the request counts as sent")
+		t.Error("the request is recorded as completely sent")
 	}
 	r.checkCounter("no reply", "upstream_connect_timed_out", 1)
 }
 
-// An attempt for which there is no descriptor was not sent, which is no failure of the upstream.
+// An attempt for which no descriptor is free ends with the outcome NotSent, which is not a failure of the upstream.
 func TestNoDescriptor(t *testing.T) {
-	r := newRig(t, 4) // three quarters are for the pool
+	r := newRig(t, 4) // the pool may use three quarters of them
 	u := newUpstream(t, r)
 	var started []*exchange.Attempt
 	for range 3 {
@@ -75,8 +75,9 @@
 	u.accept()
 }
 
-// A connection may be established long after the attempt began. Nothing is sent if its upstream was removed or
-// restarted in between, or if the attempt is not sendable any more. X-Remaining is the time that remains then.
+// A connection may be established long after its attempt started. Nothing is sent if the upstream was removed or has
+// restarted in the meantime, or if the attempt may no longer be sent. Otherwise X-Remaining is the time that remains
+// when the connection is established.
 func TestConnectionEstablishedLate(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -93,7 +94,7 @@
 		u := newUpstream(t, r)
 		x := r.newExchange()
 		var a *exchange.Attempt
-		r.Do(func() { // the loop handles the connection only after this
+		r.Do(func() { // the loop handles the established connection only after this function returns
 			a = r.begin(x, attemptTimeout)
 			tt.between(r, a)
 		})
@@ -101,22 +102,22 @@
 		if tt.want == balance.OK {
 			checkRemaining(t, c, 0.28)
 			c.respond(emptyResponse)
-		} else if b, err := c.in.ReadByte(); err == nil {
+		} else if b, err := c.reader.ReadByte(); err == nil {
 			t.Errorf("%s: the upstream receives %q", tt.name, b)
 		}
 		r.checkOutcome(a, tt.name, tt.want)
 		if a.RequestComplete != (tt.want == balance.OK) {
-			t.Errorf("%s: request complete %v", tt.name, a.RequestComplete)
+			t.Errorf("%s: RequestComplete is %v", tt.name, a.RequestComplete)
 		}
 	}
 }
 
-// checkRemaining reads a request and checks the time that it says remains, in seconds.
-func checkRemaining(t *testing.T, c *upstreamConn, most float64) {
+// checkRemaining reads a request and checks that its X-Remaining header, in seconds, is at most a maximum.
+func checkRemaining(t *testing.T, c *upstreamConn, maximum float64) {
 	t.Helper()
 	request, _ := c.request()
 	remaining, err := strconv.ParseFloat(request.Header.Get("X-Remaining"), 64)
-	if err != nil || remaining > most {
-		t.Errorf("X-Remaining %v s (%v), want %v at most", remaining, err, most)
+	if err != nil || remaining > maximum {
+		t.Errorf("X-Remaining is %v s (error %v), want at most %v s", remaining, err, maximum)
 	}
 }
--- a/internal/upstream/counters.go
+++ b/internal/upstream/counters.go
@@ -2,20 +2,21 @@
 
 import "salttrack/internal/counter"
 
+// counters has the counters of a Pool.
 type counters struct {
 	connectionsOpened       *counter.Counter
 	connectionsReused       *counter.Counter
-	connectionsShed         *counter.Counter // idle ones, for their descriptor
-	connectionsIdleClosed   *counter.Counter
-	connectionsClosedByPeer *counter.Counter // idle ones that the upstream closed, or sent bytes on that no request asked for
+	connectionsShed         *counter.Counter // idle connections that were closed to free their descriptor
+	connectionsIdleClosed   *counter.Counter // idle connections that the balancer closed, except to free their descriptor
+	connectionsClosedByPeer *counter.Counter // idle connections that the upstream closed, or sent unrequested bytes on
 	connectFailed           *counter.Counter
 	connectTimedOut         *counter.Counter
-	noDescriptor            *counter.Counter // attempts that were not sent for want of one
-	localFailures           *counter.Counter // failures to begin a connection that this machine caused
+	noDescriptor            *counter.Counter // attempts that were not sent because no descriptor was free
+	localFailures           *counter.Counter // connects that failed with a local error, each retry included
 	responsesMalformed      *counter.Counter
 	responsesStreamed       *counter.Counter
-	extraResponses          *counter.Counter // bytes received that no request asked for
-	streamsStalled          *counter.Counter // long requests and responses that made no progress
+	extraResponses          *counter.Counter // idle connections that were closed because of unrequested bytes
+	streamsStalled          *counter.Counter // streamed requests and responses that made no progress within stallTimeout
 }
 
 // newCounters registers the counters of a pool in a set.
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -10,8 +10,8 @@
 	"salttrack/internal/simulation/faultinject"
 )
 
-// An error that this machine causes for a moment says nothing of the upstream: the connect is repeated, and the request
-// is served.
+// A transient local error of a connect is not a failure of the upstream: the connect is retried, and the request is
+// served.
 func TestTransientLocalFailure(t *testing.T) {
 	for _, errno := range []unix.Errno{
 		unix.ENFILE, unix.EMFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EAGAIN, unix.ENETUNREACH,
@@ -27,7 +27,8 @@
 	}
 }
 
-// If it lasts, the attempt was not sent, which is no failure of the upstream. An upstream without a route is unreachable.
+// If a local error lasts until the connect timeout, the outcome is NotSent, which is not a failure of the upstream. If
+// there is no route to the upstream, the outcome is ConnectFailed.
 func TestLastingLocalFailure(t *testing.T) {
 	for errno, want := range map[unix.Errno]balance.Outcome{
 		unix.ENFILE:        balance.NotSent,
@@ -44,13 +45,13 @@
 		r.start("x")
 		r.Do(func() { r.pool.CancelUnsent(1) })
 		if got := <-r.ended; got.result.Outcome != balance.NotSent {
-			t.Errorf("%v: outcome %v of an unsent attempt that was cancelled", errno, got.result.Outcome)
+			t.Errorf("%v: CancelUnsent ends an unsent attempt with outcome %v", errno, got.result.Outcome)
 		}
 	}
 }
 
-// Reads and writes of a single byte, calls that fail for a moment and a watch that the kernel can't add at first change
-// no response.
+// Responses are the same if reads and writes transfer single bytes, if calls fail with transient errors, and if the
+// kernel at first has no memory to watch a descriptor.
 func TestShortAndTransientCalls(t *testing.T) {
 	rules := faultinject.TransientRules()
 	maps.Copy(rules, map[string]faultinject.Rule{
@@ -61,7 +62,7 @@
 		r := newRig(t, 8, rule)
 		u := newUpstream(t, r)
 		var c *upstreamConn
-		for n := range 2 { // on a new connection and on the same one again
+		for n := range 2 { // on a new connection, then on the same connection
 			a := r.start("body")
 			if n == 0 {
 				c = u.accept()
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -20,26 +20,27 @@
 const (
 	manyDescriptors = 64
 	attemptTimeout  = 480.0  // ms
-	longTimeout     = 3600e3 // ms, which no test reaches
+	longTimeout     = 3600e3 // ms; longer than any test runs
 
 	okResponse    = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	emptyResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 )
 
-// endedAttempt is a call of AttemptEnded.
+// endedAttempt has the arguments of a call of AttemptEnded.
 type endedAttempt struct {
 	attempt *exchange.Attempt
 	result  exchange.Result
 }
 
-// rig is a pool on a loop of its own, and the client and the listener of its attempts.
+// rig is a test fixture: a pool on a loop of its own. It implements the listener of the pool's attempts and the client
+// of their exchanges.
 type rig struct {
 	*epolltest.Rig
 	pool    *Pool
 	ended   chan endedAttempt
 	streams chan *bodystream.Stream
 
-	notSendable bool // no attempt may be sent any more
+	notSendable bool // Sendable returns false for all attempts
 }
 
 func (r *rig) AttemptEnded(a *exchange.Attempt, result exchange.Result) {
@@ -76,12 +77,12 @@
 	return r
 }
 
-// newExchange returns a request of a class that may be retried.
+// newExchange returns an exchange whose request is of an idempotent class.
 func (r *rig) newExchange() *exchange.Exchange {
 	return exchange.New(r, &http1.Request{Method: "GET", Target: "/read/x", ID: "78", Class: "read"})
 }
 
-// begin begins an attempt to upstream 1. It is called on the loop.
+// begin starts an attempt to upstream 1 with a timeout in milliseconds. It is called on the loop.
 func (r *rig) begin(x *exchange.Exchange, timeout float64) *exchange.Attempt {
 	a := x.BeginAttempt(1, r.Loop.Now(), r.Loop.Now()+timeout)
 	r.pool.Start(a)
@@ -102,7 +103,7 @@
 	return a
 }
 
-// result waits until an attempt ends, which has to be the next that does.
+// result waits until the next attempt ends and returns its result. The test fails if it is not the given attempt.
 func (r *rig) result(a *exchange.Attempt) exchange.Result {
 	r.T.Helper()
 	select {
@@ -118,7 +119,8 @@
 	return exchange.Result{}
 }
 
-// setIdleFor makes the longest idle connection idle for a time. It is called on the loop.
+// setIdleFor sets the time in milliseconds for which the longest idle connection has been idle. It is called on the
+// loop.
 func (r *rig) setIdleFor(ms float64) {
 	r.pool.idle.Front().Value.(*conn).idle.since = r.Loop.Now() - ms
 }
@@ -132,7 +134,7 @@
 	})
 }
 
-// fakeUpstream listens as upstream 1.
+// fakeUpstream listens at the address of upstream 1.
 type fakeUpstream struct {
 	*epolltest.Listener
 	t *testing.T
@@ -148,8 +150,8 @@
 // upstreamConn is the upstream's side of a connection.
 type upstreamConn struct {
 	*net.TCPConn
-	in *bufio.Reader
-	t  *testing.T
+	reader *bufio.Reader
+	t      *testing.T
 }
 
 func (u *fakeUpstream) accept() *upstreamConn {
@@ -161,7 +163,7 @@
 // request reads a request and its body.
 func (c *upstreamConn) request() (*http.Request, string) {
 	c.t.Helper()
-	request, err := http.ReadRequest(c.in)
+	request, err := http.ReadRequest(c.reader)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -172,16 +174,16 @@
 	return request, string(body)
 }
 
-// respond writes bytes of a response. The pool may close the connection before it has all of them.
+// respond writes bytes of a response. It ignores errors, as the pool may close the connection before all are written.
 func (c *upstreamConn) respond(response string) { _, _ = io.WriteString(c, response) }
 
-// abort closes the connection by a reset.
+// abort closes the connection with a TCP reset.
 func (c *upstreamConn) abort() {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// checkOutcome waits until an attempt ends and compares its outcome.
+// checkOutcome waits until an attempt ends and checks its outcome.
 func (r *rig) checkOutcome(a *exchange.Attempt, what string, want balance.Outcome) exchange.Result {
 	r.T.Helper()
 	got := r.result(a)
@@ -191,7 +193,7 @@
 	return got
 }
 
-// checkCounter compares a counter.
+// checkCounter checks the value of a counter.
 func (r *rig) checkCounter(what, name string, want uint64) {
 	r.T.Helper()
 	if got := r.CounterValue(name); got != want {
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -7,22 +7,23 @@
 	"salttrack/balance"
 )
 
-// A connection is not reused within the reuse delay after its last response. Some upstreams send extra bytes, such as a
-// duplicate of the response, a few milliseconds behind it. While the connection is idle these close it; behind the next
-// request they would be taken for its response. The delay doubles the time after which such bytes were received, within
-// these bounds. It costs few connections, as most services take longer than that.
+// A connection is not reused before the reuse delay has passed since its last response. Some upstreams send extra
+// bytes, such as a duplicate of the response, a few milliseconds after the response. If the connection is idle then, it
+// is closed. If it had been reused, the extra bytes would be taken for the response to the next request. The delay is
+// twice the longest time after which extra bytes were received, within these bounds. It prevents little reuse, as most
+// services take longer than the delay to respond.
 const (
 	minReuseDelay balance.Millis = 25
 	maxReuseDelay balance.Millis = 200
 )
 
-// idleState is what the pool knows of an idle connection.
+// idleState holds the data of a connection that is needed while it is idle.
 type idleState struct {
-	since   balance.Millis
-	element *list.Element // of the pool's list, nil while the connection is not idle
+	since   balance.Millis // when the connection became idle
+	element *list.Element  // its element in Pool.idle, nil while the connection is not idle
 }
 
-// makeIdle puts a connection whose response is complete into the pool.
+// makeIdle makes a connection whose response is complete available for reuse.
 func (c *conn) makeIdle() {
 	p := c.pool
 	c.state = stateIdle
@@ -36,7 +37,7 @@
 	})
 }
 
-// leaveIdle takes a connection out of the pool, if it is there.
+// leaveIdle removes a connection from the idle ones. It has no effect if the connection is not idle.
 func (c *conn) leaveIdle() {
 	if c.idle.element == nil {
 		return
@@ -47,7 +48,8 @@
 	c.stopTimer()
 }
 
-// removeIdle removes a connection, which is most often the last.
+// removeIdle removes a connection from the idle ones of an endpoint. It searches from the end, as the connection is
+// usually the one that became idle last.
 func (e *endpoint) removeIdle(c *conn) {
 	for i := len(e.idle) - 1; i >= 0; i-- {
 		if e.idle[i] == c {
@@ -57,8 +59,8 @@
 	}
 }
 
-// readWhileIdle closes an idle connection that has become readable: the upstream has closed it, or sent bytes that no
-// request asked for.
+// readWhileIdle closes an idle connection that has become readable: the upstream has closed it or has sent unrequested
+// bytes.
 func (c *conn) readWhileIdle() {
 	p := c.pool
 	p.counters.connectionsClosedByPeer.Inc()
@@ -72,14 +74,15 @@
 	c.close(reason)
 }
 
-// takeIdle takes the connection to an endpoint that was used last and may be used again, nil if there is none.
+// takeIdle returns the most recently used idle connection to an endpoint whose reuse delay has passed, and removes it
+// from the idle ones. It returns nil if there is none.
 func (p *Pool) takeIdle(e *endpoint) *conn {
 	for i := len(e.idle) - 1; i >= 0; i-- {
 		c := e.idle[i]
 		if p.loop.Now()-c.idle.since < p.reuseDelay {
 			continue
 		}
-		if !p.loop.IdleOpen(c.fd) { // the loop has not handled the close yet
+		if !p.loop.IdleOpen(c.fd) { // closed or readable, but the loop has not handled the event yet
 			p.counters.connectionsClosedByPeer.Inc()
 			c.close(reasonClosedByUpstream)
 			continue
@@ -91,7 +94,7 @@
 	return nil
 }
 
-// closeIdle closes the idle connections to an endpoint.
+// closeIdle closes all idle connections to an endpoint.
 func (p *Pool) closeIdle(e *endpoint) {
 	for len(e.idle) > 0 {
 		p.counters.connectionsIdleClosed.Inc()
@@ -99,7 +102,7 @@
 	}
 }
 
-// shedIdle closes the connection that has been idle longest and reports whether there was one.
+// shedIdle closes the connection that has been idle for the longest time and reports whether there was one.
 func (p *Pool) shedIdle() bool {
 	front := p.idle.Front()
 	if front == nil {
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -9,7 +9,8 @@
 	"salttrack/internal/exchange"
 )
 
-// serve lets an upstream respond to a request on a new connection, which becomes idle.
+// serve sends a request on a new connection and lets the upstream respond. It returns the connection, which is then
+// idle.
 func (r *rig) serve(u *fakeUpstream, response string) *upstreamConn {
 	r.T.Helper()
 	a := r.start("x")
@@ -30,7 +31,7 @@
 	}{
 		{"closed by the upstream", func(c *upstreamConn) { c.Close() }},
 		{"half-closed by the upstream", func(c *upstreamConn) { c.CloseWrite() }},
-		{"a response that no request asked for", func(c *upstreamConn) { c.respond("HTTP/1.1 408 Late\r\n\r\n") }},
+		{"unrequested response", func(c *upstreamConn) { c.respond("HTTP/1.1 408 Late\r\n\r\n") }},
 		{"idle timeout", func(*upstreamConn) { r.AdvanceTimers(14000) }},
 		{"restarted", func(*upstreamConn) { r.Do(func() { r.pool.SetAddress(1, address, 5) }) }},
 		{"removed", func(*upstreamConn) { r.Do(func() { r.pool.Remove(1); r.pool.SetAddress(1, address, 0) }) }},
@@ -46,8 +47,7 @@
 	r.checkCounter("before the idle timeout", "upstream_connections_open", 1)
 }
 
-// The upstream closes an idle connection in the turn of the loop in which it would be reused, before the loop has
-// handled the close.
+// An idle connection must not be reused if the upstream has closed it, even if the loop has not handled the close yet.
 func TestIdleConnectionClosedInSameTurn(t *testing.T) {
 	r := newRig(t, manyDescriptors)
 	u := newUpstream(t, r)
@@ -62,15 +62,15 @@
 		}
 		a = r.begin(x, attemptTimeout)
 	})
-	fresh := u.accept()
-	fresh.request()
-	fresh.respond(emptyResponse)
+	second := u.accept()
+	second.request()
+	second.respond(emptyResponse)
 	r.checkOutcome(a, "on a new connection", balance.OK)
-	r.checkCounter("found closed", "upstream_connections_closed_by_peer", 1)
-	r.checkCounter("found closed", "upstream_connections_reused", 0)
+	r.checkCounter("after the close", "upstream_connections_closed_by_peer", 1)
+	r.checkCounter("after the close", "upstream_connections_reused", 0)
 }
 
-// A connection that was active while its upstream restarted leads to a process that is gone, and is not kept.
+// A connection that is active while its upstream restarts leads to the old process. It is closed after its response.
 func TestRestartedWhileActive(t *testing.T) {
 	r := newRig(t, manyDescriptors)
 	u := newUpstream(t, r)
@@ -88,13 +88,13 @@
 	newResponse = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew"
 )
 
-// Bytes behind a response, such as a duplicate of it, must not become the response to the next request: a connection is
-// not reused at once, and such bytes close it.
+// Bytes after a response, such as a duplicate of it, must not be taken for the response to the next request. So a
+// connection is not reused before the reuse delay has passed, and is closed if it receives such bytes.
 func TestExtraResponse(t *testing.T) {
 	r := newRig(t, manyDescriptors)
 	u := newUpstream(t, r)
 	first := r.serve(u, oldResponse)
-	r.Do(func() { r.setIdleFor(-1000) }) // as if it had become idle in this moment, however slow the test is
+	r.Do(func() { r.setIdleFor(-1000) }) // so that the reuse delay does not pass, even if the test is slow
 	a := r.start("y")
 	second := u.accept()
 	second.request()
@@ -105,7 +105,7 @@
 		t.Errorf("body %q", got.Body)
 	}
 	c := second
-	for _, extra := range []string{oldResponse, "noise", "HTTP/1.1 100 Continue\r\n\r\n"} { // in one segment with the response
+	for _, extra := range []string{oldResponse, "noise", "HTTP/1.1 100 Continue\r\n\r\n"} { // sent together with the response
 		r.passReuseDelay()
 		a := r.start("z")
 		c.request()
@@ -118,8 +118,8 @@
 	}
 }
 
-// A duplicate response may be received some milliseconds after the first. The reuse delay is longer than that, and
-// grows if one is received later still.
+// Extra bytes may be received several milliseconds after a response. The reuse delay grows to twice the longest time
+// after which they were received, up to maxReuseDelay.
 func TestReuseDelayGrows(t *testing.T) {
 	r := newRig(t, manyDescriptors)
 	u := newUpstream(t, r)
@@ -133,7 +133,7 @@
 		r.WaitForCounter("upstream_extra_responses", before+1)
 		r.Do(func() {
 			if delay := r.pool.reuseDelay; delay < tt.wantDelay || delay > maxReuseDelay {
-				t.Errorf("reuse delay %v ms after extra bytes at %v ms, want %v", delay, tt.idleFor, tt.wantDelay)
+				t.Errorf("reuse delay is %v ms after extra bytes at %v ms, want at least %v ms", delay, tt.idleFor, tt.wantDelay)
 			}
 		})
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream sends attempts to upstreams: it connects, pools connections, writes requests and turns responses
-// into results. All functions are called on the loop. The pool owns the descriptors of its connections and their
-// timers; the streams of bodies are shared with the client side.
+// Package upstream sends attempts to upstreams. It opens and pools connections, writes requests and converts responses
+// to results of attempts. All functions are called on the event loop. The pool owns the descriptors and the timers of
+// its connections. It shares the streams of request and response bodies with package downstream.
 package upstream
 
 import (
@@ -17,40 +17,41 @@
 	"salttrack/internal/trace"
 )
 
-// idleTimeoutShare is the share of an upstream's keep-alive time after which an idle connection is closed. The
-// upstream's time runs from when it sent its last response, and a request that crosses its close ends as a connection
-// reset, which a non-idempotent request can't be retried after.
+// idleTimeoutShare is the fraction of an upstream's keepalive time after which the pool closes an idle connection. The
+// pool has to close it before the upstream does: a request that is sent while the upstream closes the connection ends
+// as a connection reset, after which a non-idempotent request can't be retried. The upstream's time starts earlier than
+// the pool's, when it sends its last response.
 const idleTimeoutShare = 0.9
 
 const readBufferSize = 64 << 10 // bytes
 
 // AttemptListener is notified of the attempts of a pool.
 type AttemptListener interface {
-	// AttemptEnded is called once for each attempt that was not cancelled. It may be called from Start.
+	// AttemptEnded is called once for each attempt that was not cancelled. It may be called during Pool.Start.
 	AttemptEnded(*exchange.Attempt, exchange.Result)
 	// Sendable reports whether an attempt may still be sent, now that its connection is established.
 	Sendable(*exchange.Attempt) bool
-	// ResponseStarted is called for a response that is passed on as a stream. AttemptEnded follows.
+	// ResponseStarted is called when a streamed response starts. AttemptEnded is called when it ends.
 	ResponseStarted(*exchange.Attempt, *bodystream.Stream)
 }
 
-// Options are what a pool works with.
+// Options configures a Pool.
 type Options struct {
 	Loop           *loop.Loop
 	Descriptors    *loop.DescriptorLimiter
 	Buffers        *bodystream.BufferPool
 	Counters       *counter.Set
 	ConnectTimeout balance.Millis
-	KeepAlive      balance.Millis // after which upstreams close idle connections
-	LoadReports    bool           // responses have load reports with the requests in flight
-	Trace          *trace.Tracer  // nil for none
+	KeepAlive      balance.Millis // time after which upstreams close idle connections
+	LoadReports    bool           // responses have load reports with the number of requests in flight
+	Trace          *trace.Tracer  // nil for no tracing
 }
 
-// Pool has the connections to all upstreams.
+// Pool manages the connections to all upstreams and the attempts that are sent on them.
 type Pool struct {
 	loop     *loop.Loop
 	buffers  *bodystream.BufferPool
-	quota    *loop.DescriptorQuota // one descriptor for each connection and each pending connect
+	quota    *loop.DescriptorQuota // has one descriptor for each connection and each pending connect
 	listener AttemptListener
 	trace    *trace.Tracer
 	counters counters
@@ -60,26 +61,26 @@
 	loadReports    bool
 
 	endpoints  map[balance.UpstreamID]*endpoint
-	active     map[*exchange.Attempt]*conn           // connecting or active
-	pending    map[*exchange.Attempt]*pendingConnect // without a connection yet
+	active     map[*exchange.Attempt]*conn           // connections that are connecting or active
+	pending    map[*exchange.Attempt]*pendingConnect // attempts whose connect is retried after a local error
 	idle       *list.List                            // of *conn, the longest idle first
-	reuseDelay balance.Millis
-	readBuffer []byte // shared by all connections, valid within one read
+	reuseDelay balance.Millis                        // see minReuseDelay
+	readBuffer []byte                                // shared by all connections, valid during one read
 }
 
-// process is a process of an upstream, and where it listens.
+// process identifies a process of an upstream by its address and start time.
 type process struct {
 	address   netip.AddrPort
 	startedAt balance.Millis
 }
 
-// endpoint is what the pool knows of one upstream.
+// endpoint is the state of one upstream in the pool.
 type endpoint struct {
 	process
 	id      balance.UpstreamID
-	host    string // the address as a Host header has it
+	host    string // the address as the value of the Host header
 	removed bool
-	idle    []*conn // the last used at the end
+	idle    []*conn // idle connections, the most recently used at the end
 }
 
 // New returns a pool without endpoints. SetListener has to be called before Start.
@@ -102,17 +103,19 @@
 	return p
 }
 
-// ApplySettings changes the settings of connections that connect or become idle from now on, and of responses.
+// ApplySettings changes the connect timeout, the upstreams' keepalive time and whether responses have load reports. The
+// times apply to connections that start to connect or become idle later.
 func (p *Pool) ApplySettings(connectTimeout, keepAlive balance.Millis, loadReports bool) {
 	p.connectTimeout = connectTimeout
 	p.idleTimeout = keepAlive * idleTimeoutShare
 	p.loadReports = loadReports
 }
 
-// SetListener sets who is notified of attempts.
+// SetListener sets the listener that is notified of attempts.
 func (p *Pool) SetListener(l AttemptListener) { p.listener = l }
 
-// SetAddress sets where an upstream listens. Idle connections to another address, or to an earlier process, are closed.
+// SetAddress sets the address of an upstream and the start time of its process. If either changes, the idle connections
+// to the upstream are closed.
 func (p *Pool) SetAddress(id balance.UpstreamID, address netip.AddrPort, startedAt balance.Millis) {
 	e := p.endpoints[id]
 	if e == nil {
@@ -127,7 +130,7 @@
 	e.host = address.String()
 }
 
-// Remove forgets an upstream. Attempts that were sent go on.
+// Remove removes an upstream and closes the idle connections to it. Attempts that were sent continue.
 func (p *Pool) Remove(id balance.UpstreamID) {
 	e := p.endpoints[id]
 	if e == nil {
@@ -138,10 +141,10 @@
 	delete(p.endpoints, id)
 }
 
-// Start begins an attempt, on the idle connection that was used last or on a new one.
+// Start starts an attempt, on the idle connection that was used most recently or on a new connection.
 func (p *Pool) Start(a *exchange.Attempt) {
 	e := p.endpoints[a.Upstream]
-	if e == nil { // the balancer and the pool get the same endpoint updates, so this is no usual case
+	if e == nil { // not expected, as the balancer and the pool get the same endpoint updates
 		p.listener.AttemptEnded(a, exchange.Result{Outcome: balance.ConnectFailed})
 		return
 	}
@@ -152,7 +155,8 @@
 	p.connect(a, e)
 }
 
-// Cancel ends an attempt without notifying the listener. Its connection is closed, which tells the upstream.
+// Cancel ends an attempt without notifying the listener. It closes the connection of the attempt, which the upstream
+// takes for a cancellation of the request.
 func (p *Pool) Cancel(a *exchange.Attempt) {
 	if c := p.active[a]; c != nil {
 		c.detach()
@@ -163,12 +167,13 @@
 	}
 }
 
-// CancelUnsent ends the attempts to an upstream that nothing was sent of, and closes the idle connections to it.
+// CancelUnsent ends the attempts to an upstream of which nothing was sent, with the outcome NotSent. It also closes the
+// idle connections to the upstream.
 func (p *Pool) CancelUnsent(id balance.UpstreamID) {
 	if e := p.endpoints[id]; e != nil {
 		p.closeIdle(e)
 	}
-	for _, c := range p.activeConnections() { // those to a removed upstream have no endpoint in the table
+	for _, c := range p.activeConnections() { // found by id, as a removed upstream is not in p.endpoints
 		if c.state == stateConnecting && c.attempt.Upstream == id {
 			c.end(balance.NotSent)
 		}
@@ -180,12 +185,14 @@
 	}
 }
 
-// activeConnections returns the connections that have an attempt, in an order that does not depend on that of the map.
+// activeConnections returns the connections that have an attempt, sorted by descriptor so that the order does not
+// depend on the iteration order of a map.
 func (p *Pool) activeConnections() []*conn {
 	return slices.SortedFunc(maps.Values(p.active), func(a, b *conn) int { return a.fd - b.fd })
 }
 
-// Close closes all connections, in an order that does not depend on that of a map. The listener is not notified.
+// Close closes all connections, in an order that does not depend on the iteration order of a map. It does not notify
+// the listener.
 func (p *Pool) Close() {
 	for p.idle.Len() > 0 {
 		p.counters.connectionsIdleClosed.Inc()
--- a/internal/upstream/reason.go
+++ b/internal/upstream/reason.go
@@ -2,7 +2,7 @@
 
 import "salttrack/internal/trace"
 
-// Why connections to upstreams are closed.
+// Reasons for closing a connection to an upstream, as they are written to the trace.
 const (
 	reasonEndpointChanged  trace.Reason = "upstream draining, removed or restarted"
 	reasonShed             trace.Reason = "shed to free a descriptor"
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -5,13 +5,13 @@
 	"salttrack/internal/loop"
 )
 
-// requestWriter has what is still to be sent of a request.
+// requestWriter holds the part of a request that is still to be sent.
 type requestWriter struct {
-	buffered []byte             // the head, and the body if it was complete when the attempt began
-	body     *http1.BodyEncoder // a body that is received while it is sent, nil once all of it is sent
+	buffered []byte             // the header, and the body if it is not streamed
+	body     *http1.BodyEncoder // a streamed body; nil if there is none or all of it is sent
 }
 
-// next returns the bytes to send now, none if the rest of the body has not been received.
+// next returns the bytes to send next. It returns none if the client has not sent more of the body yet.
 func (w *requestWriter) next() []byte {
 	if len(w.buffered) > 0 || w.body == nil {
 		return w.buffered
@@ -19,27 +19,28 @@
 	return w.body.Next()
 }
 
-// sent reports whether the whole request is sent.
+// sent reports whether the whole request was sent.
 func (w *requestWriter) sent() bool { return len(w.buffered) == 0 && w.body == nil }
 
-// sendHead begins to send on an established connection. The request says how much time remains now, as connecting may
-// have taken some.
-func (c *conn) sendHead() {
-	req := message(c.attempt)
+// sendHeader starts to send the request on an established connection. The remaining time in the request is computed
+// here, as connecting may have taken some time.
+func (c *conn) sendHeader() {
+	req := requestOf(c.attempt)
 	remaining := c.attempt.TimeoutAt - c.pool.loop.Now()
 	if c.attempt.Exchange.BodyIncomplete {
 		const millisPerSecond = 1000
 		remaining = req.RemainingSeconds * millisPerSecond
 	}
 	c.request.buffered = http1.AppendRequest(nil, req, c.endpoint.host, remaining)
-	if c.request.body != nil { // the timeout of the attempt begins only when its body is complete
+	if c.request.body != nil { // the timeout of the attempt starts only when its body is complete
 		c.lastProgress = c.pool.loop.Now()
 		c.timer = c.pool.loop.After(stallTimeout, c.checkStall)
 	}
 	c.send()
 }
 
-// send writes what the kernel takes of the request. It is also called when more of the body is received.
+// send writes as much of the request as the kernel's send buffer takes. It is also called when the client has sent more
+// of a streamed body.
 func (c *conn) send() {
 	if c.state == stateConnecting {
 		return
@@ -68,8 +69,8 @@
 	c.pool.loop.Watch(c.fd, loop.Readable|loop.HangUp)
 }
 
-// handleSendError ends the attempt. A response that the upstream sent before it closed the connection counts more than
-// that the request was not sent as a whole.
+// handleSendError ends the attempt. If the upstream sent a response before it closed the connection, the response
+// decides the outcome, although the request was not sent completely.
 func (c *conn) handleSendError() {
 	c.receive()
 	if c.state == stateActive {
@@ -77,8 +78,8 @@
 	}
 }
 
-// advance records that bytes of the request were sent. After the first of a body that is received while it is sent,
-// the request can't be sent again.
+// advance records that n bytes of the request were sent. Once the first byte of a streamed body is sent, the request
+// can't be retried.
 func (c *conn) advance(n int) {
 	c.lastProgress = c.pool.loop.Now()
 	if len(c.request.buffered) > 0 {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -8,11 +8,11 @@
 	"salttrack/internal/http1"
 )
 
-// maxReadsPerTurn bounds the reads of one connection in one turn of the loop, so that an upstream that sends without
-// pause does not delay the other connections.
+// maxReadsPerTurn is the maximum number of reads from one connection in one turn of the loop, so that an upstream that
+// sends continuously does not delay other connections.
 const maxReadsPerTurn = 4
 
-// Statuses of responses that salttrack does not give itself.
+// HTTP statuses that only upstreams use. Those that salttrack sends itself are in package http1.
 const (
 	statusMisdirectedRequest = 421
 	statusTooEarly           = 425
@@ -20,16 +20,17 @@
 	statusGatewayTimeout     = 504
 )
 
-// inFlightName is the name of the requests in flight in a load report.
+// inFlightName is the key of the number of requests in flight in a load report.
 const inFlightName = "inflight"
 
-// receive reads what was received. An incomplete response says no more than that the connection is broken.
+// receive reads and decodes received bytes. If the connection breaks before the response is complete, the attempt ends
+// with brokenOutcome, whatever the incomplete response contains.
 func (c *conn) receive() {
 	for i := 0; i < maxReadsPerTurn && c.state == stateActive; i++ {
 		buffer := c.pool.readBuffer
 		if c.stream != nil {
 			available := c.stream.Available()
-			if available == 0 { // the client is slower than the upstream
+			if available == 0 { // the client reads more slowly than the upstream sends
 				c.pool.loop.Watch(c.fd, 0)
 				return
 			}
@@ -54,6 +55,7 @@
 	}
 }
 
+// decode decodes bytes of the response.
 func (c *conn) decode(p []byte) {
 	n, err := c.decoder.Feed(p)
 	if err != nil {
@@ -75,15 +77,15 @@
 	}
 }
 
-// complete ends the attempt by its response, which is complete, or whose status alone decides the outcome. The connection becomes
-// idle if both sides have nothing more to send.
+// complete ends the attempt with the outcome of its response. The response is complete, or its status alone decides the
+// outcome. The connection becomes idle if it can be reused, and is closed otherwise.
 func (c *conn) complete() {
 	a := c.attempt
 	response := c.decoder.Response()
 	result := c.result(&response)
 	if c.stream != nil {
 		c.stream.Finish()
-		if c.state != stateActive { // the client has disconnected with the last byte
+		if c.state != stateActive { // the client has disconnected, which was detected while the last bytes were sent to it
 			return
 		}
 	}
@@ -97,7 +99,7 @@
 	c.pool.listener.AttemptEnded(a, result)
 }
 
-// result turns a response into the result of the attempt.
+// result converts a response to the result of the attempt.
 func (c *conn) result(response *http1.Response) exchange.Result {
 	result := exchange.Result{Outcome: c.outcome(response)}
 	if result.Outcome == balance.OK {
@@ -109,9 +111,10 @@
 	return result
 }
 
+// outcome returns the outcome of an attempt that has a response.
 func (c *conn) outcome(response *http1.Response) balance.Outcome {
 	switch {
-	case response.Status == http1.StatusOK && !c.request.sent(): // it can't be a response to the whole request
+	case response.Status == http1.StatusOK && !c.request.sent(): // the upstream has not received the whole request
 		c.pool.counters.responsesMalformed.Inc()
 		return balance.ConnectFailed
 	case response.Status == http1.StatusOK:
@@ -125,7 +128,7 @@
 	}
 }
 
-// isOverload reports whether the upstream has rejected the request without running it.
+// isOverload reports whether the upstream is overloaded and has rejected the request without running it.
 func isOverload(response *http1.Response) bool {
 	switch response.Status {
 	case http1.StatusServiceUnavailable, statusGatewayTimeout:
@@ -134,8 +137,9 @@
 	return false
 }
 
-// isInvalidRequest reports whether a status says that the request itself is at fault: any upstream would respond so,
-// and it says nothing of this one. The 4xx that speak of timing or load are not among them.
+// isInvalidRequest reports whether a status means that the request itself is invalid. Any upstream would respond with
+// it, so it is not a failure of this one. The statuses 408, 421, 425 and 429 depend on timing, routing or load and are
+// excluded.
 func isInvalidRequest(status int) bool {
 	switch status {
 	case http1.StatusRequestTimeout, statusMisdirectedRequest, statusTooEarly, statusTooManyRequests:
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -7,12 +7,12 @@
 	"salttrack/internal/loop"
 )
 
-// stallTimeout is the time that a long response may make no progress while its buffer has space, and a long request
-// while there is some of it to send. No timeout of the attempt applies to either.
+// stallTimeout is the longest time without progress of a streamed response whose buffer has space, and of a streamed
+// request that has bytes to send. It replaces the timeout of the attempt, which does not apply to them.
 const stallTimeout balance.Millis = 10000
 
-// startStream begins to pass on a response that is too long to be buffered as a whole, and reports whether the attempt
-// goes on. Of other statuses than 200 the body is not passed on.
+// startStream starts streaming a response that is too large to be buffered completely, and reports whether the attempt
+// continues. A response with a status other than 200 ends the attempt without its body.
 func (c *conn) startStream() bool {
 	if c.decoder.Status() != http1.StatusOK || !c.request.sent() {
 		c.complete()
@@ -31,7 +31,7 @@
 	return c.stream == stream && c.state == stateActive
 }
 
-// continueStream is called when the client has taken more of a stream, or has disconnected.
+// continueStream is called when the stream's buffer has space again, or the client has disconnected.
 func (c *conn) continueStream(stream *bodystream.Stream) {
 	if stream.State() != bodystream.Abandoned {
 		c.lastProgress = c.pool.loop.Now()
@@ -43,19 +43,20 @@
 	}
 }
 
-// checkStall ends an attempt whose long request or response makes no progress though the client does its part.
+// checkStall ends an attempt whose streamed request or response has made no progress within stallTimeout. Time during
+// which the attempt waits for the client does not count. Otherwise checkStall schedules its next call.
 func (c *conn) checkStall() {
 	now := c.pool.loop.Now()
 	switch {
 	case c.stream != nil:
-		if c.stream.Available() == 0 { // the client has not taken more
+		if c.stream.Available() == 0 { // the client has not read more, so the upstream is not stalled
 			c.lastProgress = now
 		}
 		c.stream.Flush()
 	case len(c.request.next()) > 0:
-	case c.request.body != nil: // the client has not sent more
+	case c.request.body != nil: // the client has not sent more, so the upstream is not stalled
 		c.lastProgress = now
-	default: // the whole request is sent: the timeout of the attempt applies
+	default: // the whole request was sent, so the timeout of the attempt applies
 		return
 	}
 	if remaining := c.lastProgress + stallTimeout - now; remaining > 0 {
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -15,7 +15,7 @@
 	"salttrack/internal/http1"
 )
 
-// waitUntilDelivered waits until the other kernel side of a connection has all bytes that were written to it.
+// waitUntilDelivered waits until the peer's kernel has received all bytes that were written to the connection.
 func (c *upstreamConn) waitUntilDelivered() {
 	c.t.Helper()
 	raw, err := c.SyscallConn()
@@ -30,8 +30,8 @@
 	}
 }
 
-// readStream reads a stream to its end, like a client that begins when nothing more fits into the buffer of a response
-// of some size. It returns the number of bytes.
+// readStream reads a stream to its end and returns the number of bytes. Like a slow client, it starts to read only when
+// the stream's buffer is full or all bytes of a response of a given size are buffered.
 func (r *rig) readStream(stream *bodystream.Stream, size int) int {
 	r.T.Helper()
 	received := 0
@@ -55,16 +55,16 @@
 	}
 }
 
-// An upstream may send a long response, or a part of one, and crash while the client is slow. What the kernel has
-// received is passed on.
+// An upstream may send a streamed response, or a part of it, and crash while the client reads slowly. All bytes that
+// the kernel has received are passed on to the client.
 func TestReceivedBeforeReset(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		length, sent int
 		want         bodystream.State
 	}{
-		{"the whole response", 70000, 70000, bodystream.Complete},
-		{"a part", 1 << 20, 70000, bodystream.Incomplete},
+		{"whole response", 70000, 70000, bodystream.Complete},
+		{"part of the response", 1 << 20, 70000, bodystream.Incomplete},
 	} {
 		r := newRig(t, manyDescriptors)
 		u := newUpstream(t, r)
@@ -84,7 +84,8 @@
 	}
 }
 
-// stallingExchange returns a request whose body is a stream of which some bytes are received.
+// stallingExchange returns an exchange with a streamed request, and the stream of its body, which holds bodySize bytes.
+// If bodySize is 0, the request has no body.
 func (r *rig) stallingExchange(bodySize int) (*exchange.Exchange, *bodystream.Stream) {
 	request := &http1.Request{Method: "POST", Target: "/pay/x", ID: "9", Class: "pay", RemainingSeconds: 1}
 	x := exchange.New(r, request)
@@ -97,7 +98,8 @@
 	return x, stream
 }
 
-// passStallTimeout waits until a request or response makes no progress, and then lets the stall timeout pass.
+// passStallTimeout waits until a request or response is stalled, and then runs the timers as if the stall timeout had
+// passed.
 func (r *rig) passStallTimeout(a *exchange.Attempt, isStalled func(*conn) bool) {
 	for stalled := false; !stalled; time.Sleep(time.Millisecond) {
 		r.Do(func() {
@@ -109,18 +111,18 @@
 	r.AdvanceTimers(stallTimeout + 1)
 }
 
-// A long request that the upstream does not read, and a long response that stops, end: no timeout of the attempt
-// applies to them. A request whose client has sent no more of the body goes on.
+// A streamed request that the upstream does not read and a streamed response that stops end after the stall timeout, as
+// the timeout of the attempt does not apply to them. A request whose client stops sending the body continues.
 func TestStalledStream(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
-		bodySize int    // bytes of the request that are received
-		response string // of the upstream
+		bodySize int    // bytes of the request body that the client has sent
+		response string // bytes that the upstream sends
 		want     balance.Outcome
 	}{
-		{"the upstream does not read", 8 << 20, "", balance.ConnectFailed},
-		{"the client does not send", 100, "", balance.OK},
-		{"the response stops", 0, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nabc", balance.ConnectionReset},
+		{"upstream does not read", 8 << 20, "", balance.ConnectFailed},
+		{"client does not send", 100, "", balance.OK},
+		{"response stops", 0, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nabc", balance.ConnectionReset},
 	} {
 		r := newRig(t, manyDescriptors)
 		u := newUpstream(t, r)
@@ -140,7 +142,7 @@
 			continue
 		}
 		if len(r.ended) != 0 {
-			t.Errorf("%s: it ends as %v", tt.name, (<-r.ended).result.Outcome)
+			t.Errorf("%s: the attempt ends with outcome %v", tt.name, (<-r.ended).result.Outcome)
 		}
 		r.Do(func() { r.pool.Cancel(a) })
 	}
