--- a/internal/discovery/clock.go
+++ b/internal/discovery/clock.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	maxClockDrift     = 20.0     // ms; a larger change of the offset between the two clocks is a step of the wall clock
+	maxClockDrift     = 20.0     // ms; a larger change of the difference between the clocks counts as a step
 	maxClockOffsets   = 8        // number of offsets that are kept
-	clockOffsetMaxAge = 120000.0 // ms; longest delay of the report of a start that is handled, longer than any slow start
+	clockOffsetMaxAge = 120000.0 // ms; how late a start may be reported; longer than any slow start
 )
 
 // startTimeConverter converts the start times of upstreams from the wall clock, by which the discovery service reports
 // them, to the balancer's clock. The wall clock may be stepped; the balancer's clock is monotonic. The service may
 // record a start before a step and report it after the step, so the offset to use is not known. The converter tries all
-// recent offsets and uses the latest start that is not in the future. An upstream whose start is taken for too late
-// gets less load for a while. One whose start is taken for too early would get too much load while it is warming up.
+// recent offsets and uses the latest start that is not in the future. If the result is too late, the upstream gets less
+// load for a while. If it were too early, the upstream would get too much load while it is warming up.
 type startTimeConverter struct {
 	now     balance.Millis // the balancer's clock when it was last observed
 	offsets []clockOffset  // oldest first, the current one last
 }
 
-// clockOffset is an offset between the two clocks that was observed for some time.
+// clockOffset is a difference between the wall clock and the balancer's clock, with the time of its last observation.
 type clockOffset struct {
 	offset       balance.Millis // wall clock minus the balancer's clock
 	lastObserved balance.Millis // on the balancer's clock
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -12,9 +12,9 @@
 // clockStart is the time of both clocks when the balancer starts, in milliseconds.
 const clockStart = 1e12
 
-// checkStart reports the start of an upstream after a step of the wall clock, and checks the conversion of the start
-// time. It reports the same start three times. before is the time from the start to the step, or 0 for a start after
-// the step. after is the time from the later of the two to the first report.
+// checkStart reports the start time of an upstream three times after a step of the wall clock, and checks the converted
+// start time after each report. All durations are in milliseconds: before is the time from the start to the step, or 0
+// for a start after the step, and after is the time from the start or the step, whichever is later, to the first report.
 func checkStart(t *testing.T, step, before, after balance.Millis) {
 	t.Helper()
 	r, table := NewRegistry([]string{"a"}), addresses{}
@@ -30,8 +30,8 @@
 	r.ObserveClocks(now, now+step)
 	for revision := 2; revision < 5; revision++ {
 		got := apply(t, r, table, delta(revision, memberAt("s-1", "in_service", "127.0.0.1:78", int(wallStart))))[0].StartedAt
-		// A step of seconds can't be distinguished from a delayed report. The start may then be taken for later, but
-		// not for earlier.
+		// A step of seconds can't be distinguished from a delayed report. The converted start time may then be later
+		// than the actual one, but not earlier.
 		if late := got - start; late < -1 || late > math.Abs(step)+1 || math.Abs(step) > 1e6 && late > 1 {
 			t.Errorf("converted start time is %.0f ms late after %d reports", late, revision-1)
 		}
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -43,8 +43,8 @@
 	errMalformedMember = errors.New("id is empty, or up_since_ms is negative or infinite")
 )
 
-// jsonError is an error of the JSON decoder. Its text names Go types. In place of the names of this package's types it
-// has those that operators know from configuration errors.
+// jsonError is an error of the JSON decoder. In its text, the type names wireUpdate and wireMember are replaced by
+// Update and Member, which operators know from configuration errors.
 type jsonError struct{ cause error }
 
 var jsonTypeNames = strings.NewReplacer("wireUpdate", "Update", "wireMember", "Member")
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -50,8 +50,8 @@
 	return []error{e.Violation, e.Cause}
 }
 
-// implausible reports whether an update is well-formed but contradicts the earlier updates. The next snapshot then
-// shows the true state.
+// implausible reports whether an update is well-formed but contradicts the earlier updates. The snapshot of the next
+// stream is then applied in any case.
 func (e *ProtocolError) implausible() bool {
 	return e.Violation == StaleUpdate || e.Violation == EmptySnapshot
 }
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -29,7 +29,8 @@
 	{"body ends after its content length", func(s *serverStream) { io.WriteString(s, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n\n") }, StreamEnded},
 }
 
-// checkResumes breaks a stream and returns the next one. It checks the revision after which that asks for updates.
+// checkResumes breaks a stream and returns the next one. It checks the revision after which the next stream asks
+// for updates.
 func checkResumes(t *testing.T, service *service, stream *serverStream, breaks func(*serverStream), want string) *serverStream {
 	t.Helper()
 	breaks(stream)
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -8,16 +8,16 @@
 )
 
 // The protocol requires that an update is applied within 6 s after the discovery service becomes reachable again or a
-// stream stops sending, and within 4 s after a change of the service's address. The timeouts are so short that within
-// these limits the failure is detected, a first new request hangs until its timeout, and a second one gets a response.
+// stream stops sending, and within 4 s after a change of the service's address. The timeouts leave enough of this time
+// to detect the failure, to wait until a first new request has timed out, and to get a response to a second one.
 const (
 	messageTimeout            = 3000.0 // ms without an update or a keepalive; the service sends a keepalive every 2 s
 	minFirstMessageTimeout    = 1000.0 // ms; initial timeout for the first message of a stream that asks for a snapshot
-	maxFirstMessageTimeout    = 2000.0 // ms; largest timeout for the first message of such a stream
-	firstMessageTimeoutFactor = 1.5    // growth of that timeout after each consecutive stream without a message
+	maxFirstMessageTimeout    = 2000.0 // ms; longest timeout for the first message of a stream that asks for a snapshot
+	firstMessageTimeoutFactor = 1.5    // growth of the first message timeout with each stream without a message
 	minBackoff                = 100.0  // ms; delay of the first retry after a failure
 	maxBackoff                = 1000.0 // ms; longest delay of a retry
-	backoffFactor             = 2.0    // growth of the delay with each retry
+	backoffFactor             = 2.0    // growth of the retry delay with each consecutive failure
 	minStreamDuration         = 1000.0 // ms; a stream that stays open for longer resets the backoff to minBackoff
 	maxStreams                = 2      // streams open at the same time: the newest, and one that timed out before it
 	readBufferBytes           = 16 << 10
@@ -29,15 +29,15 @@
 // The first stream, and each stream that follows one that timed out, asks for a snapshot, which the service sends at
 // once. A stream that resumes after a revision would receive nothing for 2 s if no endpoint changes, so that a working
 // service could not be distinguished from one that hangs. A stream that timed out stays open until the next stream
-// receives a message, so that updates are received on whichever of the two the service sends them. While no stream
-// receives messages, the last endpoint list stays in effect.
+// receives a message, so that updates are received whichever of the two streams the service sends them on. While
+// no stream receives messages, the last endpoint list stays in effect.
 type subscription struct {
 	options  Options
 	counters *counters
 
-	resumeRevision      uint64         // a new stream resumes after this revision; 0: it asks for a snapshot
+	resumeRevision      uint64         // a new stream resumes after this revision, or asks for a snapshot if it is 0
 	lastRevision        uint64         // of the last update that was applied, from any stream
-	acceptAnySnapshot   bool           // an update was implausible, so the next snapshot is applied in any case
+	acceptAnySnapshot   bool           // an update was implausible, so the snapshot of the next stream is applied
 	synced              bool           // an update or a keepalive was received since the start
 	failureLogged       bool           // the first of the current consecutive failures was logged
 	firstMessageTimeout balance.Millis // for the next stream that asks for a snapshot
--- a/internal/discovery/timeout_test.go
+++ b/internal/discovery/timeout_test.go
@@ -32,7 +32,7 @@
 		}
 		first.send(" ")
 		first.send("\t")
-		if f.AdvanceTimers(tt.within); f.CounterValue("watch_timeouts") != 1 { // checked before next, which would wait for the real timeout
+		if f.AdvanceTimers(tt.within); f.CounterValue("watch_timeouts") != 1 { // service.next could wait for the real timeout
 			t.Fatalf("%s: the stream has not timed out after %v ms", tt.name, tt.within)
 		}
 		second := service.next() // hangs
--- a/internal/loop/io.go
+++ b/internal/loop/io.go
@@ -49,15 +49,15 @@
 	}
 }
 
-// MarkRead records that all bytes that a descriptor has received are read or not needed.
+// MarkRead records that all bytes that a descriptor has received were read, or will never be read.
 func (l *Loop) MarkRead(fd int) {
 	if fd < len(l.watches) {
 		l.watches[fd].unreadSince = 0
 	}
 }
 
-// MarkUnreadSince records that the unread bytes of a descriptor may have been received at a time in milliseconds or
-// later. A time of 0 means that it is unknown.
+// MarkUnreadSince sets the earliest time, in milliseconds, at which the unread bytes of a descriptor may have been
+// received. A time of 0 means that it is unknown; EarliestArrivalAt then returns EarliestArrival.
 func (l *Loop) MarkUnreadSince(fd int, since float64) { l.watches[fd].unreadSince = since }
 
 // EarliestArrivalAt returns the earliest time at which the unread bytes of one descriptor may have been received, in
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -17,7 +17,7 @@
 	maxEventsPerTurn = 512
 	minBlockingWait  = 0.5   // ms; a shorter wait did not block, as its events were pending when it started
 	maxWaitOverrun   = 5.0   // ms beyond the timeout of a wait; a longer wait means that the process was not scheduled
-	maxWaitTimeout   = 60000 // ms
+	maxWaitTimeout   = 60000 // ms; longest timeout of a wait while a timer is set
 )
 
 // Handler handles the readiness events of a descriptor.
@@ -33,7 +33,7 @@
 
 	kernel          Kernel
 	watches         []watch          // indexed by descriptor
-	unsynced        map[int]struct{} // descriptors whose events the kernel had no memory to watch for
+	unsynced        map[int]struct{} // descriptors that the kernel had no memory to watch, to be retried
 	events          [maxEventsPerTurn]Event
 	lastWaitEnd     float64 // ms, on the kernel's monotonic clock
 	earliestArrival float64 // ms; the events of the current turn were received at this time or later
@@ -74,7 +74,7 @@
 // between. If the wait took longer than its timeout, they may have been received at any time during the wait.
 func (l *Loop) EarliestArrival() float64 { return l.earliestArrival }
 
-// After calls a function once a duration in milliseconds has passed, unless the returned timer is stopped before.
+// After calls a function once a duration in milliseconds has passed, unless the returned timer is stopped earlier.
 func (l *Loop) After(duration float64, do func()) *timer.Timer {
 	return l.Timers.Set(l.Now()+duration, do)
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// Bytes that are received during a long turn must not time out: the next turn handles descriptors before timers.
+// If bytes are received and a timer becomes due during the same long turn, the next turn handles the bytes first.
+// Otherwise a request would time out although its bytes have been received.
 func TestDescriptorsBeforeTimers(t *testing.T) {
 	l := newLoop(t)
 	order := ""
--- a/internal/loop/quota_test.go
+++ b/internal/loop/quota_test.go
@@ -25,7 +25,7 @@
 	return u
 }
 
-// acquireAll acquires all descriptors of a limiter for eight: six for a and two for b.
+// acquireAll acquires all descriptors of a limiter whose limit is eight: six for a and two for b.
 func acquireAll(t *testing.T, a, b *quotaUser) {
 	t.Helper()
 	for i := range 6 {
--- a/internal/upstream/cancel_test.go
+++ b/internal/upstream/cancel_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// CancelUnsent, which is called when an upstream is disabled, ends an attempt of which nothing was sent with the
-// outcome NotSent. An attempt that was sent continues.
+// When an upstream is disabled, CancelUnsent ends an attempt whose connection is not established yet with the outcome
+// NotSent. An attempt that was sent continues.
 func TestCancelUnsent(t *testing.T) {
 	r := newRig(t, manyDescriptors)
 	u := newUpstream(t, r)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -45,7 +45,8 @@
 	idle idleState
 }
 
-// begin assigns an attempt to a connection that is connecting or was idle.
+// begin assigns an attempt to a connection that is connecting or was idle. If the connection is established, it starts
+// to send the request.
 func (c *conn) begin(a *exchange.Attempt) {
 	free := c.attempt == nil && c.request.sent() && !c.decoder.Started()
 	invariant.Check(free, "a connection has one attempt at a time")
--- a/internal/upstream/counters.go
+++ b/internal/upstream/counters.go
@@ -7,8 +7,8 @@
 	connectionsOpened       *counter.Counter
 	connectionsReused       *counter.Counter
 	connectionsShed         *counter.Counter // idle connections that were closed to free their descriptor
-	connectionsIdleClosed   *counter.Counter // idle connections that the balancer closed, except to free their descriptor
-	connectionsClosedByPeer *counter.Counter // idle connections that the upstream closed, or sent unrequested bytes on
+	connectionsIdleClosed   *counter.Counter // idle connections that the balancer closed, but not to free a descriptor
+	connectionsClosedByPeer *counter.Counter // idle connections that the upstream closed or sent unrequested bytes on
 	connectFailed           *counter.Counter
 	connectTimedOut         *counter.Counter
 	noDescriptor            *counter.Counter // attempts that were not sent because no descriptor was free
@@ -16,7 +16,7 @@
 	responsesMalformed      *counter.Counter
 	responsesStreamed       *counter.Counter
 	extraResponses          *counter.Counter // idle connections that were closed because of unrequested bytes
-	streamsStalled          *counter.Counter // streamed requests and responses that made no progress within stallTimeout
+	streamsStalled          *counter.Counter // streamed requests and responses without progress for stallTimeout
 }
 
 // newCounters registers the counters of a pool in a set.
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -10,8 +10,8 @@
 // A connection is not reused before the reuse delay has passed since its last response. Some upstreams send extra
 // bytes, such as a duplicate of the response, a few milliseconds after the response. If the connection is idle then, it
 // is closed. If it had been reused, the extra bytes would be taken for the response to the next request. The delay is
-// twice the longest time after which extra bytes were received, within these bounds. It prevents little reuse, as most
-// services take longer than the delay to respond.
+// twice the longest time after which extra bytes were received, but at least minReuseDelay and at most maxReuseDelay.
+// It prevents little reuse, as most services take longer than the delay to respond.
 const (
 	minReuseDelay balance.Millis = 25
 	maxReuseDelay balance.Millis = 200
@@ -37,7 +37,7 @@
 	})
 }
 
-// leaveIdle removes a connection from the idle ones. It has no effect if the connection is not idle.
+// leaveIdle removes a connection from the idle connections. It has no effect if the connection is not idle.
 func (c *conn) leaveIdle() {
 	if c.idle.element == nil {
 		return
@@ -48,8 +48,8 @@
 	c.stopTimer()
 }
 
-// removeIdle removes a connection from the idle ones of an endpoint. It searches from the end, as the connection is
-// usually the one that became idle last.
+// removeIdle removes a connection from the idle connections of an endpoint. It searches from the end, as the connection
+// is usually the one that became idle last.
 func (e *endpoint) removeIdle(c *conn) {
 	for i := len(e.idle) - 1; i >= 0; i-- {
 		if e.idle[i] == c {
@@ -75,7 +75,7 @@
 }
 
 // takeIdle returns the most recently used idle connection to an endpoint whose reuse delay has passed, and removes it
-// from the idle ones. It returns nil if there is none.
+// from the idle connections. It returns nil if there is none.
 func (p *Pool) takeIdle(e *endpoint) *conn {
 	for i := len(e.idle) - 1; i >= 0; i-- {
 		c := e.idle[i]
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -155,8 +155,8 @@
 	p.connect(a, e)
 }
 
-// Cancel ends an attempt without notifying the listener. It closes the connection of the attempt, which the upstream
-// takes for a cancellation of the request.
+// Cancel ends an attempt without notifying the listener. It closes the connection of the attempt, by which the
+// upstream can detect the cancellation.
 func (p *Pool) Cancel(a *exchange.Attempt) {
 	if c := p.active[a]; c != nil {
 		c.detach()
@@ -167,8 +167,8 @@
 	}
 }
 
-// CancelUnsent ends the attempts to an upstream of which nothing was sent, with the outcome NotSent. It also closes the
-// idle connections to the upstream.
+// CancelUnsent ends all attempts to an upstream whose connection is not established yet, with the outcome NotSent. It
+// also closes the idle connections to the upstream.
 func (p *Pool) CancelUnsent(id balance.UpstreamID) {
 	if e := p.endpoints[id]; e != nil {
 		p.closeIdle(e)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -12,7 +12,7 @@
 // sends continuously does not delay other connections.
 const maxReadsPerTurn = 4
 
-// HTTP statuses that only upstreams use. Those that salttrack sends itself are in package http1.
+// HTTP statuses that only upstreams send. Those that salttrack sends itself are in package http1.
 const (
 	statusMisdirectedRequest = 421
 	statusTooEarly           = 425
@@ -85,7 +85,7 @@
 	result := c.result(&response)
 	if c.stream != nil {
 		c.stream.Finish()
-		if c.state != stateActive { // the client has disconnected, which was detected while the last bytes were sent to it
+		if c.state != stateActive { // the client disconnected while the last bytes were sent to it
 			return
 		}
 	}
