--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// remove removes an upstream from the listed ones. Its name and id are kept until forgetRemoved drops them.
+// remove removes an upstream from the listed upstreams. Its name and id are kept until dropOldestRemoved drops them.
 func (r *Registry) remove(id balance.UpstreamID, addresses AddressTable) {
 	addresses.Remove(id)
 	if address := r.listed[id].address; r.byAddress[address] == id {
@@ -153,12 +153,12 @@
 	}
 	delete(r.listed, id)
 	r.removedNames = append(r.removedNames, r.names[id])
-	r.forgetRemoved()
+	r.dropOldestRemoved()
 }
 
-// forgetRemoved drops the names and ids of the upstreams that were removed first, as long as there are more than
+// dropOldestRemoved drops the names and ids of the upstreams that were removed first, as long as there are more than
 // maxRemovedNames. It keeps those that are listed again or pinned.
-func (r *Registry) forgetRemoved() {
+func (r *Registry) dropOldestRemoved() {
 	for len(r.removedNames) > maxRemovedNames {
 		name := r.removedNames[0]
 		r.removedNames = r.removedNames[1:]
@@ -194,7 +194,7 @@
 	delete(r.pinned, name)
 	if _, listed := r.listed[r.ids[name]]; !listed {
 		r.removedNames = append(r.removedNames, name)
-		r.forgetRemoved()
+		r.dropOldestRemoved()
 	}
 }
 
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -96,7 +96,7 @@
 
 // If upstreams get a new name at each start, the registry keeps a bounded number of names of removed upstreams. A
 // pinned upstream keeps its id. A name that was never listed has no id.
-func TestRemovedNamesAreForgotten(t *testing.T) {
+func TestRemovedNamesAreBounded(t *testing.T) {
 	r, table := NewRegistry(nil), addresses{}
 	apply(t, r, table, delta(0, member("s-pinned", "in_service")))
 	pinned := r.Pin("s-pinned")
--- a/internal/loop/quota.go
+++ b/internal/loop/quota.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// isExceededBy reports whether all users together, or the user of a quota, have more descriptors than allowed.
 func (l *DescriptorLimiter) isExceededBy(q *DescriptorQuota) bool {
 	return l.InUse() > l.limit || q.inUse > l.maxPerQuota
 }
