--- a/internal/node/config_reload.go
+++ b/internal/node/config_reload.go
@@ -50,7 +50,8 @@
 	return ""
 }
 
-// nextSettings returns the settings that replace the running ones. Settings that identify the instance change only at a restart:
+// nextSettings returns the settings that replace the running ones.
+// Settings that identify the instance change only at a restart:
 // the number of the instance, its tier, its zone, the names of the zones, and how it receives endpoint updates.
 // The function inUse reports whether a request in progress uses a class number.
 func (c *Config) nextSettings(running settings.Settings, inUse func(class uint8) bool) (settings.Settings, error) {
