--- a/internal/simulation/fake/agent.go
+++ b/internal/simulation/fake/agent.go
@@ -5,23 +5,24 @@
 	"slices"
 )
 
-// Agent is the discovery agent on a balancer's machine. It serves the revision of the registry that it has received. It
-// owns its listener and its watches.
+// Agent is the discovery agent on a balancer's machine. It sends the endpoints of a registry to watches of the balancer.
+// It receives each revision of the registry after Lag, and sends the state at the latest revision that it has received.
+// It owns its listener and its watches.
 type Agent struct {
 	Host             Host
 	Registry         *Registry
 	Balancer         string
 	Recorder         Recorder
-	Lag              float64 // ms until it receives a change
-	Muted            bool    // it sends nothing
-	DuplicateUpdates bool    // it sends each update twice
+	Lag              float64 // ms from a change of the registry until the agent receives it
+	Muted            bool    // the agent accepts watches and sends nothing on them
+	DuplicateUpdates bool    // the agent sends each update twice
 
 	listener *listener
 	watches  []*watch
-	revision int // that it has received
+	revision int // latest revision of the registry that the agent has received
 }
 
-// NewAgent starts an agent with the given options at an address.
+// NewAgent starts an agent that listens at addr. The exported fields of options configure it.
 func NewAgent(options Agent, addr netip.AddrPort) (*Agent, error) {
 	a := &options
 	a.revision = a.Registry.revision
@@ -34,10 +35,11 @@
 	return a, nil
 }
 
-// Close stops accepting connections, and closes the open ones after so many ms.
-func (a *Agent) Close(after float64) {
+// Close stops accepting connections, and closes the open ones after delay, in ms.
+// The agent receives no change that is made to the registry after the call.
+func (a *Agent) Close(delay float64) {
 	a.listener.close()
-	a.Host.Loop().After(after, a.Reset)
+	a.Host.Loop().After(delay, a.Reset)
 	a.Registry.removeAgent(a)
 }
 
@@ -51,7 +53,7 @@
 	}
 }
 
-// onRevision receives a revision of the registry, after the agent's lag.
+// onRevision is called when the registry changes. The agent receives and publishes the revision after its lag.
 func (a *Agent) onRevision(revision int) {
 	a.Host.Loop().After(a.Lag, func() {
 		a.revision = max(a.revision, revision)
@@ -59,7 +61,7 @@
 	})
 }
 
-// Publish sends all watches what they don't have yet, unless the agent is muted.
+// Publish sends each watch the changes that were not sent on it yet. It sends nothing while the agent is muted.
 func (a *Agent) Publish() {
 	if a.Muted {
 		return
@@ -77,14 +79,14 @@
 	a.watches = slices.DeleteFunc(slices.Clone(a.watches), func(other *watch) bool { return other == w })
 }
 
-// snapshot returns all endpoints at the agent's revision.
+// snapshot returns all endpoints at the agent's revision, except for terminated ones.
 func (a *Agent) snapshot() []Endpoint {
 	return slices.DeleteFunc(a.changesSince(0), func(e Endpoint) bool { return e.Phase == Terminated })
 }
 
-// changesSince returns the endpoints that changed after a revision, in their state at the agent's revision.
+// changesSince returns the endpoints that changed after a revision, each in its state at the agent's revision.
 func (a *Agent) changesSince(revision int) []Endpoint {
-	list := []Endpoint{} // an empty list, not null, on the wire
+	list := []Endpoint{} // not nil, which would be encoded as null
 	position := map[string]int{}
 	for _, c := range a.Registry.changes {
 		if c.revision <= revision || c.revision > a.revision {
--- a/internal/simulation/fake/balancer_pool.go
+++ b/internal/simulation/fake/balancer_pool.go
@@ -9,7 +9,7 @@
 	"salttrack/internal/timer"
 )
 
-// Readiness checks, in ms.
+// Intervals and timeout of readiness checks, in ms.
 const (
 	checkIntervalOutOfRotation = 150.0
 	checkIntervalInRotation    = 1000.0
@@ -18,8 +18,8 @@
 
 const readinessRequest = "GET /-/ready HTTP/1.1\r\nHost: b.svc\r\nConnection: close\r\n\r\n"
 
-// BalancerPool distributes the requests of a zone's clients among balancers. A balancer is in rotation from its first
-// passed readiness check to the next failed one.
+// BalancerPool distributes the requests of a zone's clients among balancers.
+// A passed readiness check puts a balancer in rotation, and a failed one takes it out.
 type BalancerPool struct {
 	host    Host
 	rng     Stream
@@ -31,7 +31,7 @@
 	BalancerAddress
 	sameZone   bool
 	inRotation bool
-	restarting bool // no check counts until Restarted
+	restarting bool // results of readiness checks are ignored until Restarted is called
 }
 
 // NewBalancerPool returns a pool without balancers.
@@ -39,12 +39,12 @@
 	return &BalancerPool{host: host, rng: randstream.New(seed, names.BalancerPoolStream+host.Name())}
 }
 
-// AddSameZone adds a balancer of the clients' zone.
+// AddSameZone adds a balancer in the clients' zone.
 func (p *BalancerPool) AddSameZone(address BalancerAddress) {
 	p.add(&poolMember{BalancerAddress: address, sameZone: true})
 }
 
-// AddOtherZone adds a balancer of another zone. It gets requests while none of the clients' zone is in rotation.
+// AddOtherZone adds a balancer in another zone. It gets requests only while no balancer in the clients' zone is in rotation.
 func (p *BalancerPool) AddOtherZone(address BalancerAddress) {
 	p.add(&poolMember{BalancerAddress: address})
 }
@@ -54,11 +54,12 @@
 	p.checkReadiness(member)
 }
 
-// ExpectRestart takes a balancer out of rotation after so many ms, until it is restarted and ready.
-func (p *BalancerPool) ExpectRestart(name string, after float64) {
+// ExpectRestart takes a balancer out of rotation after delay, in ms.
+// The balancer is back in rotation once Restarted has been called and a readiness check has passed after that.
+func (p *BalancerPool) ExpectRestart(name string, delay float64) {
 	for _, member := range p.members {
 		if member.Name == name {
-			p.host.Loop().After(after, func() {
+			p.host.Loop().After(delay, func() {
 				member.inRotation = false
 				member.restarting = true
 			})
@@ -66,7 +67,7 @@
 	}
 }
 
-// Restarted lets readiness checks of a restarted balancer count again.
+// Restarted marks a balancer as restarted: the results of its readiness checks are no longer ignored.
 func (p *BalancerPool) Restarted(name string) {
 	for _, member := range p.members {
 		if member.Name == name {
@@ -75,9 +76,10 @@
 	}
 }
 
-// Select returns a random balancer in rotation, of the clients' zone if there is one there. It returns false if none is.
+// Select returns a random balancer in rotation. It returns one in another zone only if none in the clients' zone is in
+// rotation, and false if none at all is in rotation.
 func (p *BalancerPool) Select() (BalancerAddress, bool) {
-	draw := p.rng.Uint64() // one draw a request, whatever is in rotation
+	draw := p.rng.Uint64() // drawn even if no balancer is in rotation, so that later draws do not shift
 	candidates := p.inRotation(func(m *poolMember) bool { return m.sameZone })
 	if len(candidates) == 0 {
 		candidates = p.inRotation(func(*poolMember) bool { return true })
@@ -88,7 +90,7 @@
 	return candidates[draw%uint64(len(candidates))].BalancerAddress, true
 }
 
-// inRotation returns the members in rotation that match.
+// inRotation returns the members in rotation for which match returns true.
 func (p *BalancerPool) inRotation(match func(*poolMember) bool) []*poolMember {
 	var list []*poolMember
 	for _, member := range p.members {
@@ -99,7 +101,7 @@
 	return list
 }
 
-// readinessCheck is one check of a balancer. It owns its connection and its timer, which end with it.
+// readinessCheck is one readiness check of a balancer. It owns its connection and its timeout, and ends both in finish.
 type readinessCheck struct {
 	pool     *BalancerPool
 	member   *poolMember
@@ -109,7 +111,7 @@
 	finished bool
 }
 
-// checkReadiness starts a check of a balancer, which schedules the next one.
+// checkReadiness starts a readiness check of a balancer. The check schedules the next one when it ends.
 func (p *BalancerPool) checkReadiness(member *poolMember) {
 	check := &readinessCheck{pool: p, member: member, decoder: http1.NewResponseDecoder(nil)}
 	conn, err := dial(p.host, member.Addr)
@@ -145,7 +147,8 @@
 	r.finish(func() { r.member.inRotation = false })
 }
 
-// finish applies the result of the check once, and schedules the next check.
+// finish ends the check and schedules the next one. It calls apply unless the balancer is restarting.
+// Only the first call has an effect.
 func (r *readinessCheck) finish(apply func()) {
 	if r.finished {
 		return
--- a/internal/simulation/fake/call.go
+++ b/internal/simulation/fake/call.go
@@ -16,12 +16,12 @@
 	callServed callOutcome = iota
 	callRejected
 	callFailed
-	callIncomplete // no complete response came
-	callUnsent     // no balancer accepted the connection
+	callIncomplete // the request was sent, and no complete response was received
+	callUnsent     // the request was not completely sent
 )
 
-// outcomeOf returns the outcome of a complete response.
-func outcomeOf(status int) callOutcome {
+// outcomeForStatus returns the outcome of a call whose complete response has the given status.
+func outcomeForStatus(status int) callOutcome {
 	switch status {
 	case http.StatusOK:
 		return callServed
@@ -31,32 +31,32 @@
 	return callFailed
 }
 
-// call is one request of a client, on one connection. It owns its timer, which ends with it.
+// call is one request of a client, sent on one connection. It owns its timer, which stops when the call ends.
 type call struct {
 	id             string
-	rootID         string // of the first try
+	rootID         string // ID of the original request, which retries share
 	class          int
 	idempotencyKey string
-	remaining      float64 // ms to the deadline, as the request says
+	remaining      float64 // ms to the deadline, sent in the request
 	body           []byte
 	balancer       BalancerAddress
 	onDone         func(callOutcome)
 
-	cancelAfter       float64 // ms after which the client cancels, 0 for never
-	firstRequestDelay float64 // ms from opening the connection to the request
+	cancelAfter       float64 // ms from sending the request until the client cancels it, 0 for never
+	firstRequestDelay float64 // ms from opening the connection to sending the request
 	writeSlowly       bool
 	readSlowly        bool
 	newConnection     bool
-	pipelined         bool // sent behind another call on its connection
-	resent            bool // sent again after the connection closed
+	pipelined         bool // sent before the response to an earlier request on its connection
+	resent            bool // sent again after its first connection closed
 
 	conn     *clientConn
-	written  bool
+	written  bool // the kernel has accepted the whole request
 	finished bool
-	timer    *timer.Timer // cancels the call, or ends it some time after its deadline
+	timer    *timer.Timer // cancels the call after cancelAfter, or aborts it responseGrace after its deadline
 }
 
-// message returns the request as it is sent.
+// message returns the encoded request.
 func (c *call) message(class Class) []byte {
 	method := http.MethodPost
 	if class.Idempotency == balance.Idempotent {
@@ -75,7 +75,7 @@
 	return append(p, c.body...)
 }
 
-// cancel ends the call for its client.
+// cancel cancels the request by closing its connection. It records the cancellation if the request was sent.
 func (c *call) cancel() {
 	if c.written {
 		c.conn.recordCancelled(c)
@@ -83,13 +83,13 @@
 	c.abort()
 }
 
-// abort closes the call's connection, which ends all calls on it.
+// abort closes the call's connection and ends all calls on it. The caller records the end of this call.
 func (c *call) abort() {
 	c.conn.conn.close()
 	c.conn.endAll(c)
 }
 
-// end ends the call once; later outcomes are ignored.
+// end ends the call with an outcome. Only the first call of end or stop has an effect.
 func (c *call) end(outcome callOutcome) {
 	if c.finished {
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-// stop ends the call without an outcome.
+// stop ends the call without reporting an outcome.
 func (c *call) stop() {
 	c.finished = true
 	if c.conn != nil {
@@ -108,13 +108,13 @@
 	}
 }
 
-// resend returns a call that sends the same request on a new connection, and ends this one without an outcome.
+// resend returns a copy of the call, to be sent on a new connection. It ends this call without reporting an outcome.
 func (c *call) resend() *call {
-	again := *c
-	again.conn = nil
-	again.written = false
-	again.resent = true
-	again.newConnection = true
+	resent := *c
+	resent.conn = nil
+	resent.written = false
+	resent.resent = true
+	resent.newConnection = true
 	c.stop()
-	return &again
+	return &resent
 }
--- a/internal/simulation/fake/class.go
+++ b/internal/simulation/fake/class.go
@@ -2,15 +2,15 @@
 
 import "salttrack/balance"
 
-// Class is one class of requests as clients use it.
+// Class describes the requests of one class that clients send.
 type Class struct {
 	Name        string
 	Idempotency balance.Idempotency
-	Deadline    float64 // ms from sending a request
-	Fraction    float64 // of the requests
+	Deadline    float64 // ms from sending a request to its deadline
+	Fraction    float64 // fraction of all requests, relative to the sum of the fractions of all classes
 }
 
-// drawClass draws the number of a class by its fraction.
+// drawClass draws the index of a class, with probabilities proportional to the fractions.
 func drawClass(rng Stream, classes []Class) int {
 	sum := 0.0
 	for _, class := range classes {
--- a/internal/simulation/fake/client.go
+++ b/internal/simulation/fake/client.go
@@ -6,14 +6,14 @@
 	"salttrack/internal/http1"
 )
 
-// client sends calls to balancers, and keeps idle connections for the next calls. Its connections close when their
-// balancer closes them, or when a call on them is cancelled.
+// client sends calls to balancers and keeps idle connections for later calls.
+// A connection is closed when its balancer closes it, when it breaks, or when a call on it is cancelled.
 type client struct {
 	host     Host
 	recorder Recorder
 	rng      Stream
 	classes  []Class
-	idle     map[string][]*clientConn // by balancer
+	idle     map[string][]*clientConn // by name of the balancer
 }
 
 func newClient(host Host, recorder Recorder, classes []Class, rng Stream) *client {
@@ -23,10 +23,10 @@
 // newID returns a new request ID or idempotency key.
 func (c *client) newID() string { return fmt.Sprintf("%016x", c.rng.Uint64()) }
 
-// now returns the time of the client's loop.
+// now returns the time of the client's loop, in ms.
 func (c *client) now() float64 { return c.host.Loop().Now() }
 
-// start sends a call, on an idle connection or a new one.
+// start sends a call on an idle connection to its balancer, or on a new connection if there is none or the call needs one.
 func (c *client) start(call *call) {
 	if !call.newConnection {
 		if idle := c.popIdle(call.balancer.Name); idle != nil {
@@ -45,7 +45,7 @@
 	opened.send(call)
 }
 
-// startPair sends two calls on one new connection, the second before the response to the first.
+// startPair pipelines two calls on one new connection: it sends the second before the response to the first.
 func (c *client) startPair(first, second *call) {
 	first.newConnection = true
 	second.pipelined = true
@@ -57,15 +57,15 @@
 	}
 }
 
-// popIdle removes and returns the connection to a balancer that became idle last, nil if there is none.
+// popIdle removes and returns the connection to a balancer that became idle most recently, nil if none is idle.
 func (c *client) popIdle(balancer string) *clientConn {
 	idle := c.idle[balancer]
 	if len(idle) == 0 {
 		return nil
 	}
-	taken := idle[len(idle)-1]
+	conn := idle[len(idle)-1]
 	c.idle[balancer] = idle[:len(idle)-1]
-	return taken
+	return conn
 }
 
 func (c *client) addIdle(conn *clientConn) {
--- a/internal/simulation/fake/client_conn.go
+++ b/internal/simulation/fake/client_conn.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// responseGrace is how long past its deadline, in ms, a client waits for a response, so that late ones are recorded.
+	// responseGrace is how long a client waits for a response after the deadline, in ms, so that late responses are
+	// recorded as well.
 	responseGrace = 400.0
 
-	slowReadPause   = 20.0  // ms between two reads of a slow reader
-	minSlowWriteGap = 5.0   // ms between two pieces of a slow writer
-	maxSlowWriteGap = 250.0 // ms
+	slowReadPause   = 20.0  // ms between two reads of a response that is read slowly
+	minSlowWriteGap = 5.0   // ms, shortest pause between two parts of a request that is written slowly
+	maxSlowWriteGap = 250.0 // ms, longest pause between two parts of a request that is written slowly
 )
 
-// clientConn is one connection of a client.
+// clientConn is one connection of a client to a balancer.
 type clientConn struct {
 	client       *client
 	conn         *conn
 	balancer     BalancerAddress
 	decoder      *http1.ResponseDecoder
-	pending      []*call // without a response, in the order they were sent
-	requestCount int
+	pending      []*call // calls without a response, in the order of sending
+	requestCount int     // requests that are completely written
 }
 
-// send sends a call on the connection.
+// send sends a call on the connection, after its firstRequestDelay.
 func (c *clientConn) send(call *call) {
 	call.conn = c
 	c.pending = append(c.pending, call)
@@ -45,10 +46,10 @@
 	c.write(call, message)
 }
 
-// write writes a request, at once or in pieces.
+// write writes a request, at once or slowly.
 func (c *clientConn) write(call *call, message []byte) {
 	if call.writeSlowly {
-		c.writeInPieces(call, message)
+		c.writeSlowly(call, message)
 		return
 	}
 	if c.conn.closed || call.finished {
@@ -58,8 +59,8 @@
 	c.conn.send(message)
 }
 
-// writeInPieces writes a piece of a request, and the others after a pause.
-func (c *clientConn) writeInPieces(call *call, message []byte) {
+// writeSlowly writes a part of a request, and schedules the rest after a pause. Sizes and pauses are random.
+func (c *clientConn) writeSlowly(call *call, message []byte) {
 	if c.conn.closed || call.finished {
 		return
 	}
@@ -72,11 +73,12 @@
 	c.conn.send(message[:size])
 	if len(rest) > 0 {
 		gap := c.client.rng.Between(minSlowWriteGap, maxSlowWriteGap)
-		c.client.host.Loop().After(gap, func() { c.writeInPieces(call, rest) })
+		c.client.host.Loop().After(gap, func() { c.writeSlowly(call, rest) })
 	}
 }
 
-// onWritten records the requests that are completely written now.
+// onWritten is called when all pending requests are completely written. It records those that are not recorded yet, and
+// starts their response timeouts.
 func (c *clientConn) onWritten() {
 	now := c.client.now()
 	for _, call := range c.pending {
@@ -85,7 +87,7 @@
 		}
 		call.written = true
 		c.requestCount++
-		c.client.recorder.RequestSent(c.record(call, now))
+		c.client.recorder.RequestSent(c.requestRecord(call, now))
 		if call.cancelAfter == 0 {
 			call.timer = c.client.host.Loop().After(call.remaining+responseGrace, func() {
 				c.client.recorder.ResponseTimedOut(call.id, c.client.now())
@@ -95,8 +97,8 @@
 	}
 }
 
-// record returns a call as it is recorded.
-func (c *clientConn) record(call *call, now float64) Request {
+// requestRecord returns the record of a request whose last byte was written at the time now.
+func (c *clientConn) requestRecord(call *call, now float64) Request {
 	balancer := c.balancer.Name
 	if peer := c.client.host.PeerName(c.conn.fd); peer != "" {
 		balancer = peer
@@ -120,14 +122,15 @@
 	c.client.recorder.RequestCancelled(call.id, c.client.now())
 }
 
-// removePending removes and returns all calls without a response.
+// removePending removes and returns all pending calls.
 func (c *clientConn) removePending() []*call {
 	pending := c.pending
 	c.pending = nil
 	return pending
 }
 
-// endAll ends the calls of a connection that the client has closed. The cause, which may be nil, is recorded already.
+// endAll ends all pending calls after the client has closed the connection. It records written calls as cancelled, except
+// for cause, whose end the caller has recorded. A nil cause means that there is no such call.
 func (c *clientConn) endAll(cause *call) {
 	for _, call := range c.removePending() {
 		if call != cause && call.written {
@@ -137,7 +140,7 @@
 	}
 }
 
-// onData decodes responses.
+// onData decodes responses. It closes the connection on bytes that belong to no response.
 func (c *clientConn) onData(data []byte) {
 	for len(data) > 0 && !c.conn.closed {
 		if len(c.pending) == 0 {
@@ -165,7 +168,7 @@
 	call := c.pending[0]
 	response := c.decoder.Response()
 	c.pending = c.pending[1:]
-	if !call.written { // rejected before the balancer had the request: it did not accept it
+	if !call.written { // response to an incomplete request: neither of them is recorded
 		c.conn.close()
 		call.end(callFailed)
 		return
@@ -178,16 +181,17 @@
 	})
 	c.decoder.Reset()
 	switch {
-	case response.Close: // the balancer accepts no request behind this one
+	case response.Close: // the balancer does not serve later requests on this connection
 		c.conn.close()
 		c.endAll(nil)
 	case len(c.pending) == 0:
 		c.client.addIdle(c)
 	}
-	call.end(outcomeOf(response.Status))
+	call.end(outcomeForStatus(response.Status))
 }
 
-// onClosed handles a connection that the balancer closed or that broke.
+// onClosed ends the pending calls after the balancer has closed the connection or after an I/O error. It resends a request
+// that raced with the close of an idle connection, if mayResend allows it.
 func (c *clientConn) onClosed(err error) {
 	c.client.removeIdle(c)
 	responseBegun := c.decoder.Started()
@@ -206,8 +210,10 @@
 	}
 }
 
-// mayResend reports whether a call may be sent again after its reused connection closed. An orderly close crossed the
-// request; after a reset the balancer may have forwarded it, so that it has to be idempotent.
+// mayResend reports whether a call may be sent again after its reused connection closed with err.
+// After an orderly close any request may be resent: the balancer closed an idle connection while the request was on its way.
+// After a reset the balancer may have forwarded the request, so only an idempotent one is resent.
+// A request is resent once at most.
 func (c *clientConn) mayResend(call *call, err error) bool {
 	if call.resent || call.finished {
 		return false
--- a/internal/simulation/fake/clients.go
+++ b/internal/simulation/fake/clients.go
@@ -9,24 +9,24 @@
 	"salttrack/internal/simulation/randstream"
 )
 
-// ClientBehavior is how clients behave at the moment. Faults change it.
+// ClientBehavior is the current behavior of clients. Faults change it.
 type ClientBehavior struct {
-	RateFactor            float64 // multiple of the request rate
-	CancelFraction        float64 // fraction of requests that are cancelled before the response
+	RateFactor            float64 // multiple of ClientsOptions.RequestRate
+	CancelFraction        float64 // fraction of requests that are cancelled unless the response is received first
 	SlowReadFraction      float64 // fraction of responses that are read slowly
 	SlowWriteFraction     float64 // fraction of requests that are written slowly
-	PipelinedFraction     float64 // fraction of requests that are sent with another one behind
-	NewConnectionFraction float64 // fraction of requests on a new connection
-	DelayedFraction       float64 // fraction of requests on a new connection that is idle for a while first
-	MalformedRate         float64 // connections a second with malformed input
+	PipelinedFraction     float64 // fraction of requests that are followed by a pipelined request
+	NewConnectionFraction float64 // fraction of requests that are sent on a new connection
+	DelayedFraction       float64 // fraction of requests that are sent with a delay after opening a new connection
+	MalformedRate         float64 // connections per second that send malformed input
 }
 
 const (
 	minRateFactor        = 0.01
-	minFirstRequestDelay = 20.0   // ms
-	maxFirstRequestDelay = 1800.0 // ms
-	minRetryTime         = 50.0   // ms that have to remain to the deadline for a client's retry
-	maxOrderPadding      = 300    // bytes
+	minFirstRequestDelay = 20.0   // ms, shortest delay from opening a connection to its first request
+	maxFirstRequestDelay = 1800.0 // ms, longest delay from opening a connection to its first request
+	minRetryTime         = 50.0   // ms; a client sends no retry with less time to the deadline
+	maxBodyPadding       = 300    // bytes; upper bound, exclusive, of the padding of a request body
 )
 
 // ClientsOptions are the parameters of the clients of one zone.
@@ -35,22 +35,23 @@
 	Zone        string
 	Balancers   *BalancerPool
 	Classes     []Class
-	RequestRate float64 // a second
+	RequestRate float64 // requests per second, without retries
 	Seed        uint64
-	Retries     int     // after a rejection, and after a failure of an idempotent request
-	Backoff     float64 // ms before a retry, with jitter
-	Until       float64 // when the last request is sent
+	Retries     int     // most retries of a request
+	Backoff     float64 // mean delay of a retry, in ms; the delay is jittered by up to 50%
+	Until       float64 // time in ms from which on no new requests are sent; retries still are
 	Recorder    Recorder
 	Behavior    *ClientBehavior
 }
 
-// Clients are the clients of one zone. Their requests arrive at random at a given rate, whatever the responses.
+// Clients are the clients of one zone. New requests are sent as a Poisson process, at a rate that does not depend on the
+// responses. Rejected requests and failed idempotent requests are retried.
 type Clients struct {
 	ClientsOptions
 	client       *client
 	rng          Stream
 	malformedRNG Stream
-	openCount    int
+	openCount    int // requests without an outcome
 }
 
 // NewClients starts the clients of a zone.
@@ -66,11 +67,11 @@
 	return c
 }
 
-// OpenRequests returns the number of requests without an outcome.
+// OpenRequests returns the number of requests that have no final outcome yet. A request and its retries count as one.
 func (c *Clients) OpenRequests() int { return c.openCount }
 
-// arrivalGap draws the time in ms to the next arrival of a Poisson process.
-func arrivalGap(rng Stream, perSecond float64) float64 {
+// drawInterarrivalTime draws the time in ms to the next arrival of a Poisson process.
+func drawInterarrivalTime(rng Stream, perSecond float64) float64 {
 	return -math.Log(1-rng.Float64()) * 1000 / perSecond
 }
 
@@ -79,7 +80,7 @@
 	if lp.Now() >= c.Until {
 		return
 	}
-	gap := arrivalGap(c.rng, c.RequestRate*max(minRateFactor, c.Behavior.RateFactor))
+	gap := drawInterarrivalTime(c.rng, c.RequestRate*max(minRateFactor, c.Behavior.RateFactor))
 	lp.After(gap, func() {
 		if lp.Now() < c.Until {
 			c.sendRequest()
@@ -88,7 +89,7 @@
 	})
 }
 
-// sendRequest sends a new request, or two that are pipelined.
+// sendRequest sends a new request, or two pipelined ones.
 func (c *Clients) sendRequest() {
 	first := c.newCall()
 	if first == nil {
@@ -106,8 +107,9 @@
 	c.client.start(first)
 }
 
-// drawBehavior draws how a client behaves, and reports whether it pipelines another request. All draws are made whatever
-// the behavior is, so that a fault that ends does not shift the draws of later requests.
+// drawBehavior draws how a client sends a call, and reports whether it pipelines another request behind the call.
+// All draws but those for DelayedFraction are made for any behavior, so that a fault that changes the behavior does not
+// shift the draws of later requests.
 func (c *Clients) drawBehavior(call *call) (pipelined bool) {
 	behavior := c.Behavior
 	cancelDraw := c.rng.Float64()
@@ -123,14 +125,14 @@
 		call.newConnection = true
 		call.firstRequestDelay = c.rng.Between(minFirstRequestDelay, maxFirstRequestDelay)
 	}
-	if cancelDraw < behavior.CancelFraction { // most clients that cancel do so early
+	if cancelDraw < behavior.CancelFraction { // the cube of the draw makes most cancellations early
 		call.cancelAfter = 1 + cancelTimeDraw*cancelTimeDraw*cancelTimeDraw*call.remaining*0.9
 	}
-	plain := !call.writeSlowly && call.cancelAfter == 0 && call.firstRequestDelay == 0
-	return plain && pipelineDraw < behavior.PipelinedFraction
+	mayPipeline := !call.writeSlowly && call.cancelAfter == 0 && call.firstRequestDelay == 0
+	return mayPipeline && pipelineDraw < behavior.PipelinedFraction
 }
 
-// newCall returns a new request, nil if no balancer is in rotation.
+// newCall returns a call for a new request, nil if no balancer is in rotation.
 func (c *Clients) newCall() *call {
 	balancer, inRotation := c.Balancers.Select()
 	class := drawClass(c.rng, c.Classes)
@@ -141,7 +143,7 @@
 		call.idempotencyKey = c.client.newID()
 	}
 	if idempotency != balance.Idempotent {
-		call.body = []byte("order " + call.rootID + strings.Repeat(".", c.rng.IntN(maxOrderPadding)))
+		call.body = []byte("order " + call.rootID + strings.Repeat(".", c.rng.IntN(maxBodyPadding)))
 	}
 	if !inRotation {
 		return nil
@@ -150,7 +152,8 @@
 	return call
 }
 
-// retryOnFailure sends another call after one that was rejected or failed, while retries and time remain.
+// retryOnFailure sets onDone of a call. If the call ends with an outcome that allows a retry, onDone sends a retry after a
+// backoff, while retries and time to the deadline remain.
 func (c *Clients) retryOnFailure(first *call, retries int, deadline float64) {
 	first.onDone = func(outcome callOutcome) {
 		lp := c.Host.Loop()
@@ -176,6 +179,8 @@
 	}
 }
 
+// mayRetry reports whether a call that ended with an outcome may be retried. Rejected and unsent requests may be, and failed
+// requests only if they are idempotent.
 func (c *Clients) mayRetry(call *call, outcome callOutcome) bool {
 	switch outcome {
 	case callRejected, callUnsent:
--- a/internal/simulation/fake/conn.go
+++ b/internal/simulation/fake/conn.go
@@ -15,29 +15,29 @@
 	slowReadBufferBytes = 512
 )
 
-// errClosedByPeer is the error of a connection whose peer closed it in order.
+// errClosedByPeer is passed to onClosed after an orderly close by the peer.
 var errClosedByPeer = errors.New("connection closed by peer")
 
-// conn is one connection of a fake. It buffers what the kernel does not accept yet. It owns its descriptor, which it
-// closes on an error, on the peer's close, or by close.
+// conn is one TCP connection of a fake. It buffers data that the kernel does not accept yet.
+// It owns its descriptor, and closes it on an I/O error, when the peer has closed the connection, or in close.
 type conn struct {
 	host      Host
 	fd        int
 	connected bool
 	closed    bool
-	unsent    []byte
+	unsent    []byte // passed to send, not accepted by the kernel yet
 
 	closeWhenFlushed bool
-	readPause        float64 // ms between two reads, 0 for a reader that does not pause
-	readPauseTimer   *timer.Timer
+	readPause        float64      // ms between two reads, 0 for no pauses
+	readPauseTimer   *timer.Timer // runs during a pause, nil otherwise
 
 	onConnected func()
 	onData      func(data []byte)
-	onClosed    func(err error) // called once, not after close
-	onFlushed   func()
+	onClosed    func(err error) // called once, unless the connection was closed by close
+	onFlushed   func()          // called when the kernel has accepted all data
 }
 
-// dial begins a connection.
+// dial begins to connect to an address. onConnected is called when the connection is established.
 func dial(host Host, addr netip.AddrPort) (*conn, error) {
 	fd, err := host.Loop().Connect(addr)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return c, nil
 }
 
-// send writes data, or buffers it until the kernel accepts it.
+// send writes data, and buffers what the kernel does not accept yet. It does nothing on a closed connection.
 func (c *conn) send(data []byte) {
 	if c.closed {
 		return
@@ -60,6 +60,7 @@
 	c.flush()
 }
 
+// flush writes the buffered data as far as the kernel accepts it.
 func (c *conn) flush() {
 	if !c.connected || c.closed {
 		return
@@ -71,13 +72,13 @@
 			return
 		}
 		if n == 0 {
-			c.updateWatch()
+			c.updateInterest()
 			return
 		}
 		c.unsent = c.unsent[n:]
 	}
 	c.unsent = nil
-	c.updateWatch()
+	c.updateInterest()
 	if c.closeWhenFlushed {
 		c.close()
 	}
@@ -86,7 +87,8 @@
 	}
 }
 
-func (c *conn) updateWatch() {
+// updateInterest sets the readiness events that the connection waits for.
+func (c *conn) updateInterest() {
 	if c.closed {
 		return
 	}
@@ -100,12 +102,12 @@
 	c.host.Loop().Watch(c.fd, events)
 }
 
-// Ready handles events of the descriptor.
+// Ready handles readiness events of the descriptor.
 func (c *conn) Ready(events uint32) {
 	if !c.connected && !c.finishConnect(events) {
 		return
 	}
-	if events&loop.Failed != 0 && c.readPauseTimer != nil { // a broken connection needs no pause
+	if events&loop.Failed != 0 && c.readPauseTimer != nil { // end the pause, so that the error is read at once
 		c.stopReadPause()
 	}
 	if events&loop.Writable != 0 {
@@ -116,7 +118,7 @@
 	}
 }
 
-// finishConnect handles events of a connection that was not connected, and reports whether it is now.
+// finishConnect handles readiness events during the connection setup, and reports whether the connection is established.
 func (c *conn) finishConnect(events uint32) bool {
 	err := c.host.Loop().SocketError(c.fd)
 	if err == nil && events&loop.Failed != 0 {
@@ -136,7 +138,7 @@
 	return true
 }
 
-// read reads until nothing is left, or until a pause begins.
+// read reads until no data is available, the connection closes, or a pause begins.
 func (c *conn) read() {
 	size := readBufferBytes
 	if c.readPause > 0 {
@@ -165,11 +167,11 @@
 	c.readPauseTimer = c.host.Loop().After(c.readPause, func() {
 		c.readPauseTimer = nil
 		if !c.closed {
-			c.updateWatch()
+			c.updateInterest()
 			c.read()
 		}
 	})
-	c.updateWatch()
+	c.updateInterest()
 }
 
 func (c *conn) stopReadPause() {
@@ -177,7 +179,7 @@
 	c.readPauseTimer = nil
 }
 
-// fail closes the connection for an error.
+// fail closes the connection because of an error, and passes the error to onClosed.
 func (c *conn) fail(err error) {
 	if c.closed {
 		return
@@ -188,6 +190,7 @@
 	}
 }
 
+// close closes the connection without a call of onClosed, and discards unsent data.
 func (c *conn) close() {
 	if c.closed {
 		return
--- a/internal/simulation/fake/host.go
+++ b/internal/simulation/fake/host.go
@@ -1,10 +1,10 @@
-// Package fake holds what surrounds a balancer in a simulation, written from the protocol alone: upstreams with a model
-// of their service, clients, the pool of balancers that they use, and discovery. All of it runs on event loops, on the
-// virtual network as on loopback sockets, and reports what passes on the wire to a Recorder. All times are in
-// milliseconds.
+// Package fake implements the processes that a balancer talks to in a simulation: upstreams with a model of their
+// service times, clients with a pool of balancers, and discovery. The fakes are written from the definition
+// of the protocol alone. They run on event loops, either on the virtual network or on loopback sockets.
+// They report what they send and receive to a Recorder. All times are in milliseconds.
 //
-// Each fake belongs to the loop of its host: it is created and used on that loop only, and all its timers and
-// descriptors end with the host.
+// Each fake belongs to the loop of its host. It is created and used on that loop only.
+// Its timers and descriptors end with the host at the latest.
 package fake
 
 import (
@@ -18,13 +18,14 @@
 type Host interface {
 	Loop() *loop.Loop
 	Name() string
-	// LastReadSentAt returns when the peer sent the byte read last from a descriptor, as far as the host can tell.
+	// LastReadSentAt returns when the peer sent the byte that was read last from a descriptor.
+	// A host that does not know this time returns the current time.
 	LastReadSentAt(fd int) float64
-	// PeerName returns the process at the other end of a connection, "" if the host can't tell.
+	// PeerName returns the name of the process at the other end of a connection, "" if the host does not know it.
 	PeerName(fd int) string
 }
 
-// BalancerAddress is a balancer as its clients reach it.
+// BalancerAddress is the name and address of a balancer.
 type BalancerAddress struct {
 	Name string
 	Addr netip.AddrPort
--- a/internal/simulation/fake/listener.go
+++ b/internal/simulation/fake/listener.go
@@ -9,7 +9,7 @@
 // noDescriptor is the descriptor of a closed listener.
 const noDescriptor = -1
 
-// listener accepts connections and passes them to onAccept, which owns them. It owns its descriptor until close.
+// listener accepts connections and passes their ownership to onAccept. It owns its descriptor until close.
 type listener struct {
 	host     Host
 	fd       int
--- a/internal/simulation/fake/malformed.go
+++ b/internal/simulation/fake/malformed.go
@@ -10,59 +10,63 @@
 )
 
 const (
-	minMalformedRate     = 0.5    // connections a second that are scheduled; they are opened during a fault only
-	malformedInputPeriod = 4500.0 // ms after which a connection with malformed input is closed
+	// minMalformedRate is the lowest rate, per second, at which connections with malformed input are scheduled.
+	// They are opened only while ClientBehavior.MalformedRate is above 0.
+	minMalformedRate = 0.5
+
+	// malformedConnLifetime is the time in ms after which a client closes a connection with malformed input.
+	malformedConnLifetime = 4500.0
 )
 
-// malformedInput is an input that a balancer has to reject. Each %d stands for a random ID.
+// malformedInput is an input that a balancer has to reject.
 type malformedInput struct {
-	name   string
-	text   string
-	repeat int // how often it is sent on one connection
+	name   string // describes the input in reports
+	text   string // each %d is replaced by a random ID
+	repeat int    // number of times that text is sent on one connection
 }
 
-// remainingField gives the balancer 1 s to the deadline.
+// remainingField is a header field that sets the deadline to 1 s.
 const remainingField = "X-Remaining: 1"
 
-// requestWith returns a request of a class with more header fields. It is complete but for its body.
-func requestWith(methodAndPath, class string, fields ...string) string {
+// requestWithFields returns the head of a request of a class, with additional header fields. Its ID contains a %d.
+func requestWithFields(methodAndPath, class string, fields ...string) string {
 	return methodAndPath + " HTTP/1.1\r\nHost: b\r\nX-Txn: r%d\r\nX-Lane: " + class + "\r\n" +
 		strings.Join(fields, "\r\n") + "\r\n\r\n"
 }
 
-// hiddenRequest is a request that a balancer must not find within the body of another one.
-const hiddenRequest = "GET /status/hidden HTTP/1.1\r\nX-Txn: hidden%d\r\nX-Lane: status\r\nX-Remaining: 1\r\n\r\n"
+// smuggledRequest is a request in the body of another one, which a balancer must not treat as a request.
+const smuggledRequest = "GET /status/hidden HTTP/1.1\r\nX-Txn: hidden%d\r\nX-Lane: status\r\nX-Remaining: 1\r\n\r\n"
 
-// malformedInputs are drawn by position.
+// malformedInputs are drawn by index, so their number and their sequence enter the hash of a run.
 var malformedInputs = []malformedInput{
-	{"noise", "\x00\x01\x02 nothing that can be read \r\n\r\n", 1},
-	{"endless head", "GET /status/x HTTP/1.1\r\nX-Long: " + strings.Repeat("y", 40000), 1},
-	{"no version", "GET /status/x\r\n\r\n", 1},
-	{"negative length", requestWith("POST /oddaja/x", "oddaja", remainingField, "Content-Length: -5"), 1},
-	{"huge length", requestWith("POST /oddaja/x", "oddaja", remainingField, "Content-Length: 99999999999999999999"), 1},
-	{"two framings", requestWith("POST /oddaja/x", "oddaja", remainingField, "Content-Length: 4", "Transfer-Encoding: chunked") +
-		"0\r\n\r\n" + hiddenRequest, 1},
-	{"unknown class", requestWith("GET /nothing/x", "nothing", remainingField), 1},
-	{"deadline that is no number", requestWith("GET /status/x", "status", "X-Remaining: soon"), 1},
+	{"bytes that are not HTTP", "\x00\x01\x02 nothing that can be read \r\n\r\n", 1},
+	{"oversized head", "GET /status/x HTTP/1.1\r\nX-Long: " + strings.Repeat("y", 40000), 1},
+	{"request line without version", "GET /status/x\r\n\r\n", 1},
+	{"negative Content-Length", requestWithFields("POST /oddaja/x", "oddaja", remainingField, "Content-Length: -5"), 1},
+	{"huge Content-Length", requestWithFields("POST /oddaja/x", "oddaja", remainingField, "Content-Length: 99999999999999999999"), 1},
+	{"both Content-Length and chunked", requestWithFields("POST /oddaja/x", "oddaja", remainingField, "Content-Length: 4", "Transfer-Encoding: chunked") +
+		"0\r\n\r\n" + smuggledRequest, 1},
+	{"unknown class", requestWithFields("GET /nothing/x", "nothing", remainingField), 1},
+	{"deadline that is not a number", requestWithFields("GET /status/x", "status", "X-Remaining: soon"), 1},
 	{"no request ID", "GET /status/x HTTP/1.1\r\nHost: b\r\nX-Lane: status\r\nX-Remaining: 1\r\n\r\n", 1},
 	{"incomplete head", "GET /status/x HTTP/1.1\r\nHost: b\r\nX-T", 1},
-	{"silent", "", 1},
-	{"non-idempotent with a key", requestWith("POST /oddaja/x", "oddaja", "Idempotency-Key: k", remainingField,
+	{"no data", "", 1},
+	{"idempotency key in a non-idempotent class", requestWithFields("POST /oddaja/x", "oddaja", "Idempotency-Key: k", remainingField,
 		"Content-Length: 0"), 1},
-	{"wrong method", requestWith("DELETE /status/x", "status", remainingField), 1},
-	{"path outside its class", requestWith("GET /status/../oddaja/x", "status", remainingField), 1},
-	{"chunk lines that end in LF", requestWith("POST /oddaja/x", "oddaja", remainingField, "Transfer-Encoding: chunked") +
+	{"wrong method", requestWithFields("DELETE /status/x", "status", remainingField), 1},
+	{"path of another class", requestWithFields("GET /status/../oddaja/x", "status", remainingField), 1},
+	{"chunk lines that end in LF", requestWithFields("POST /oddaja/x", "oddaja", remainingField, "Transfer-Encoding: chunked") +
 		"2\nab\n0\n\n", 1},
-	{"hundreds of requests at once", requestWith("GET /nothing/x", "nothing", remainingField), 200},
+	{"hundreds of requests at once", requestWithFields("GET /nothing/x", "nothing", remainingField), 200},
 }
 
-// scheduleMalformed opens connections with malformed input at the rate of the clients' behavior.
+// scheduleMalformed schedules the next connection with malformed input, at the rate of the clients' behavior.
 func (c *Clients) scheduleMalformed() {
 	lp := c.Host.Loop()
 	if lp.Now() >= c.Until {
 		return
 	}
-	gap := arrivalGap(c.malformedRNG, max(minMalformedRate, c.Behavior.MalformedRate))
+	gap := drawInterarrivalTime(c.malformedRNG, max(minMalformedRate, c.Behavior.MalformedRate))
 	input := malformedInputs[c.malformedRNG.IntN(len(malformedInputs))]
 	lp.After(gap, func() {
 		if c.Behavior.MalformedRate > 0 && lp.Now() < c.Until {
@@ -72,18 +76,20 @@
 	})
 }
 
-// malformedConn is one connection with malformed input. It owns its timer, which closes the connection at last.
+// malformedConn is one connection with malformed input. It owns its timer, which closes the connection after
+// malformedConnLifetime.
 type malformedConn struct {
 	clients   *Clients
 	input     malformedInput
 	balancer  BalancerAddress
 	conn      *conn
 	decoder   *http1.ResponseDecoder
-	startedAt float64
+	startedAt float64 // time in ms when the connection was established
 	timer     *timer.Timer
-	recorded  bool
+	recorded  bool // the result is recorded
 }
 
+// sendMalformed opens a connection and sends an input on it.
 func (c *Clients) sendMalformed(input malformedInput) {
 	balancer, inRotation := c.Balancers.Select()
 	if !inRotation {
@@ -95,7 +101,7 @@
 	}
 	m := &malformedConn{clients: c, input: input, balancer: balancer, conn: conn, decoder: http1.NewResponseDecoder(nil)}
 	m.startedAt = m.now()
-	m.timer = c.Host.Loop().After(malformedInputPeriod, m.onTimeout)
+	m.timer = c.Host.Loop().After(malformedConnLifetime, m.onTimeout)
 	conn.onConnected = func() { m.startedAt = m.now() }
 	conn.onData = m.onData
 	conn.onClosed = m.onClosed
@@ -104,7 +110,7 @@
 	}
 }
 
-// withRandomIDs replaces each %d of a text by a random ID.
+// withRandomIDs replaces each %d in a text by a random ID.
 func (c *Clients) withRandomIDs(text string) string {
 	for strings.Contains(text, "%d") {
 		text = strings.Replace(text, "%d", fmt.Sprintf("%012x", c.malformedRNG.Uint64()>>16), 1)
@@ -114,7 +120,7 @@
 
 func (m *malformedConn) now() float64 { return m.clients.Host.Loop().Now() }
 
-// record records how the balancer handled the input. The first result counts.
+// record records how the balancer handled the input. Results after the first are ignored.
 func (m *malformedConn) record(status int) {
 	if m.recorded {
 		return
@@ -129,6 +135,7 @@
 	})
 }
 
+// onTimeout closes a connection that the balancer has not closed.
 func (m *malformedConn) onTimeout() {
 	if m.conn.closed {
 		return
@@ -139,6 +146,7 @@
 	m.conn.close()
 }
 
+// onData records a response. It closes the connection if the response is not an error.
 func (m *malformedConn) onData(data []byte) {
 	if _, err := m.decoder.Feed(data); err != nil || !m.decoder.Complete() {
 		return
--- a/internal/simulation/fake/nested_caller.go
+++ b/internal/simulation/fake/nested_caller.go
@@ -6,15 +6,15 @@
 	"salttrack/internal/simulation/randstream"
 )
 
-// minNestedCallTime is how much time, in ms, has to remain for a call to the next tier.
+// minNestedCallTime is the time to the deadline, in ms, below which no call to the next tier is made.
 const minNestedCallTime = 5
 
-// NestedCaller makes an upstream's calls to the next tier, through one balancer.
+// NestedCaller makes the calls of an upstream to the next tier, through one balancer. It implements NextTier.
 type NestedCaller struct {
 	client    *client
 	balancer  BalancerAddress
 	callCount int
-	open      map[string]*call // by the request of the upstream that they belong to
+	open      map[string]*call // calls without an outcome, by ID of the upstream's request
 }
 
 // NestedCallerOptions are the parameters of a nested caller.
@@ -23,11 +23,11 @@
 	Recorder  Recorder
 	Classes   []Class
 	Balancer  BalancerAddress
-	CallCount int // calls for each request, one after the other
+	CallCount int // calls per request, which are made sequentially
 	Seed      uint64
 }
 
-// NewNestedCaller returns a nested caller of an upstream.
+// NewNestedCaller returns a nested caller for an upstream.
 func NewNestedCaller(o NestedCallerOptions) *NestedCaller {
 	rng := randstream.New(o.Seed, names.NestedCallerStream+o.Balancer.Name)
 	return &NestedCaller{
@@ -38,13 +38,14 @@
 	}
 }
 
-// Call makes the calls for a request, which has so many ms to its deadline. The first that is not served ends them.
+// Call makes the calls for a request whose deadline is in remaining ms. It calls onDone when all calls were served, or
+// when one was not served or not made for lack of time; no further calls are made then.
 func (n *NestedCaller) Call(requestID string, remaining float64, onDone func(served bool)) {
-	n.next(requestID, n.client.now()+remaining, n.callCount, onDone)
+	n.callNext(requestID, n.client.now()+remaining, n.callCount, onDone)
 }
 
-// next makes one call, and then the remaining ones.
-func (n *NestedCaller) next(requestID string, deadline float64, callsToMake int, onDone func(served bool)) {
+// callNext makes one call and, once it is served, the others of callsToMake.
+func (n *NestedCaller) callNext(requestID string, deadline float64, callsToMake int, onDone func(served bool)) {
 	remaining := deadline - n.client.now()
 	if callsToMake == 0 || remaining < minNestedCallTime {
 		delete(n.open, requestID)
@@ -63,13 +64,13 @@
 			onDone(false)
 			return
 		}
-		n.next(requestID, deadline, callsToMake-1, onDone)
+		n.callNext(requestID, deadline, callsToMake-1, onDone)
 	}
 	n.open[requestID] = c
 	n.client.start(c)
 }
 
-// Abandon cancels the open call for a request that no client waits for any more.
+// Abandon cancels the open call for a request whose connection has closed. Its onDone is not called.
 func (n *NestedCaller) Abandon(requestID string) {
 	c := n.open[requestID]
 	if c == nil {
--- a/internal/simulation/fake/registry.go
+++ b/internal/simulation/fake/registry.go
@@ -2,17 +2,17 @@
 
 import "encoding/json"
 
-// Phase is the phase of an endpoint, as discovery sends it.
+// Phase is the phase of an endpoint in discovery. Its values are those of the wire format.
 type Phase string
 
-// The phases.
+// Phases of an endpoint.
 const (
 	InService   Phase = "in_service"
 	Terminating Phase = "terminating"
 	Terminated  Phase = "terminated"
 )
 
-// Endpoint is one upstream as discovery lists it.
+// Endpoint is one upstream in an endpoint list of discovery.
 type Endpoint struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
@@ -23,27 +23,28 @@
 	StartedAt float64 `json:"up_since_ms"`
 }
 
-// Registry holds the endpoints of a tier and all their changes.
+// Registry holds the endpoints of a tier and the history of their changes.
 type Registry struct {
 	revision  int
-	endpoints []Endpoint // those not terminated, by their first change
-	changes   []change
-	agents    []*Agent
+	endpoints []Endpoint // endpoints that are not terminated, in the sequence in which they were added
+	changes   []change   // all changes, by revision
+	agents    []*Agent   // agents that receive each change
 }
 
+// change is the state of an endpoint after one change.
 type change struct {
 	revision int
 	endpoint Endpoint
 }
 
-// message is one message of a watch.
+// message is one message on a watch. It holds the complete endpoint list, or the endpoints that have changed.
 type message struct {
 	Revision int        `json:"revision"`
 	Complete bool       `json:"complete"`
 	Members  []Endpoint `json:"members"`
 }
 
-// Set adds or changes an endpoint.
+// Set adds or changes an endpoint and notifies the agents. It removes an endpoint in phase Terminated from the list.
 func (r *Registry) Set(endpoint Endpoint) {
 	r.revision++
 	r.changes = append(r.changes, change{r.revision, endpoint})
@@ -53,8 +54,8 @@
 	}
 }
 
-// replaceEndpoint returns a copy of a list with a changed endpoint in its place, or at the end, and without it if it is
-// terminated.
+// replaceEndpoint returns a copy of a list in which changed replaces the endpoint of the same ID, or is appended if there is
+// none. A terminated endpoint is left out.
 func replaceEndpoint(list []Endpoint, changed Endpoint) []Endpoint {
 	replaced := make([]Endpoint, 0, len(list)+1)
 	found := false
@@ -73,7 +74,7 @@
 	return replaced
 }
 
-// Snapshot returns the complete list as a message, as a balancer has it in its configuration.
+// Snapshot returns the complete endpoint list as an encoded message, for the initial list in a balancer's configuration.
 func (r *Registry) Snapshot() json.RawMessage {
 	return encodeMessage(message{Revision: r.revision, Complete: true, Members: r.endpoints})
 }
@@ -81,12 +82,12 @@
 func encodeMessage(m message) []byte {
 	text, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // no field has a type that can't be encoded
+		panic(err) // all fields have types that can be encoded
 	}
 	return text
 }
 
-// removeAgent stops the changes to an agent.
+// removeAgent stops notifying an agent of changes.
 func (r *Registry) removeAgent(agent *Agent) {
 	agents := make([]*Agent, 0, len(r.agents))
 	for _, other := range r.agents {
--- a/internal/simulation/fake/upstream_conn.go
+++ b/internal/simulation/fake/upstream_conn.go
@@ -14,11 +14,11 @@
 	upstream    *Upstream
 	conn        *conn
 	decoder     *http1.RequestDecoder
-	firstByteAt float64 // when the balancer sent the first byte of the present request
-	job         *job    // of the present request, nil between requests
-	requestID   string
-	unparsed    []byte // received behind the present request
-	unusable    bool   // what follows is ignored
+	firstByteAt float64 // time when the balancer sent the first byte of the current request
+	job         *job    // job of the current request, nil between requests
+	requestID   string  // ID of the current request
+	unparsed    []byte  // data received after the current request
+	ignoreInput bool    // all further data is ignored
 }
 
 func (u *Upstream) accept(c *conn) {
@@ -27,7 +27,7 @@
 	c.onClosed = func(error) { uc.onClosed() }
 }
 
-// onClosed abandons the present request: no client waits for it.
+// onClosed abandons the current request and its calls to the next tier.
 func (c *upstreamConn) onClosed() {
 	if c.job == nil {
 		return
@@ -39,8 +39,9 @@
 	}
 }
 
+// onData decodes a request. Data that arrives before the response to the current request waits in unparsed.
 func (c *upstreamConn) onData(data []byte) {
-	if c.unusable {
+	if c.ignoreInput {
 		return
 	}
 	if c.job != nil {
@@ -64,7 +65,7 @@
 	c.onRequest(&request)
 }
 
-// rejectMalformed responds to a request that can't be parsed, and closes the connection.
+// rejectMalformed responds to a request that can't be parsed with the status of err, and closes the connection.
 func (c *upstreamConn) rejectMalformed(err error) {
 	status := http.StatusBadRequest
 	var invalid *http1.Error
@@ -77,7 +78,7 @@
 		FirstByteAt: c.firstByteAt,
 		Malformed:   true,
 	})
-	c.unusable = true
+	c.ignoreInput = true
 	c.conn.closeWhenFlushed = true
 	c.conn.send(http1.AppendResponse(nil, http1.ResponseHead{Status: status, Close: true}, nil))
 }
@@ -108,12 +109,13 @@
 	}
 }
 
-// serve starts or queues a request.
+// serve starts or queues a request. It rejects the request if the queue is full.
 func (c *upstreamConn) serve(r *http1.Request, class int) {
 	u := c.upstream
 	now := u.Host.Loop().Now()
 	cost := u.drawCost(class)
-	if u.service.recordArrival(now, u.ServiceTimes[class].Mean) { // a balancer can't know the cost of a single request
+	// The load is the mean cost of the class, as a balancer can't know the cost of a single request.
+	if u.service.recordArrival(now, u.ServiceTimes[class].Mean) {
 		u.crash()
 		return
 	}
@@ -127,14 +129,15 @@
 	j.onStart = func() { c.recordExecution(r) }
 	j.onExpired = func() { c.finishJob(func() { c.reject(http.StatusGatewayTimeout) }) }
 	j.onDone = func() { c.onJobDone(r, j) }
-	if !u.service.accept(j) {
+	if !u.service.admit(j) {
 		c.reject(http.StatusServiceUnavailable)
 		return
 	}
 	c.job = j
 }
 
-// recordExecution records that a request runs, or that it is dropped as a duplicate.
+// recordExecution records that the execution of a request begins, or that the request is a duplicate and not executed.
+// A duplicate takes the same service time and gets the same kind of response.
 func (c *upstreamConn) recordExecution(r *http1.Request) {
 	u := c.upstream
 	now := u.Host.Loop().Now()
@@ -145,7 +148,7 @@
 	u.Recorder.RequestExecuted(Execution{RequestID: r.ID, Upstream: u.ID, Zone: u.Zone, IdempotencyKey: r.IdempotencyKey, At: now})
 }
 
-// onJobDone calls the next tier, if there is one, and responds.
+// onJobDone makes the calls to the next tier, if there is one, and responds. A failed call leads to status 500.
 func (c *upstreamConn) onJobDone(r *http1.Request, j *job) {
 	u := c.upstream
 	if u.NextTier == nil {
@@ -163,18 +166,19 @@
 	})
 }
 
-// finishJob ends the job, responds, and goes on with what was received behind the request.
+// finishJob ends the current job, calls respond, and handles the data that was received after the request.
 func (c *upstreamConn) finishJob(respond func()) {
 	c.job = nil
 	respond()
-	if len(c.unparsed) > 0 && c.job == nil && !c.unusable && !c.conn.closed {
+	if len(c.unparsed) > 0 && c.job == nil && !c.ignoreInput && !c.conn.closed {
 		unparsed := c.unparsed
 		c.unparsed = nil
 		c.onData(unparsed)
 	}
 }
 
-// respondExecuted responds to a request that ran, with a body of its own, or with the error or corruption of a fault.
+// respondExecuted responds to an executed request, with status 200 and a unique body.
+// Active faults may replace the response by status 500 or corrupt it.
 func (c *upstreamConn) respondExecuted(r *http1.Request) {
 	u := c.upstream
 	if u.faultStream(names.ErrorResponseStream).Chance(u.Faults.ErrorFraction) {
--- a/internal/simulation/fake/watch.go
+++ b/internal/simulation/fake/watch.go
@@ -11,10 +11,10 @@
 	"salttrack/internal/timer"
 )
 
-// keepAliveInterval is the time in ms between two empty lines on a watch.
+// keepAliveInterval is the time in ms between two keepalives on a watch. A keepalive is an empty line.
 const keepAliveInterval = 2000.0
 
-// noRevision is the revision of a watch that has not got the complete list.
+// noRevision is the revision of a watch whose request has no revision. Such a watch gets the complete endpoint list.
 const noRevision = -1
 
 const (
@@ -22,17 +22,18 @@
 	keepAliveChunk    = "1\r\n\n\r\n"
 )
 
-// watch is one connection on which an agent sends updates. It owns its timer, which ends with the connection.
+// watch is one connection on which an agent sends endpoint updates. It owns its timer, which stops when the connection
+// closes.
 type watch struct {
 	agent           *Agent
-	watcher         string // the process that watches
+	watcher         string // name of the process that opened the connection, or of the agent's balancer if not known
 	conn            *conn
 	decoder         *http1.RequestDecoder
-	revision        int // that was sent last
-	requested       bool
-	responseStarted bool
-	unrecorded      []Endpoint      // sent, and not flushed yet
-	sent            map[string]bool // IDs of endpoints sent and not terminated
+	revision        int             // revision that was sent last; initially the one in the request, or noRevision
+	requested       bool            // the request was received
+	responseStarted bool            // the head of the response was sent
+	unrecorded      []Endpoint      // updates that are sent and not recorded, as the kernel has not accepted all data yet
+	sent            map[string]bool // IDs of endpoints in recorded updates, except for terminated endpoints
 	keepAlive       *timer.Timer
 }
 
@@ -51,7 +52,7 @@
 	w.agent.removeWatch(w)
 }
 
-// onData decodes the request. What follows it is ignored.
+// onData decodes the request and sends the first message unless the agent is muted. Data after the request is ignored.
 func (w *watch) onData(data []byte) {
 	if w.requested {
 		return
@@ -66,7 +67,8 @@
 	}
 }
 
-// requestedRevision returns the revision in a request's target, noRevision if there is none.
+// requestedRevision returns the revision in the target of a request, noRevision if the target has none.
+// A value that is not a number counts as 0.
 func requestedRevision(target string) int {
 	revision := noRevision
 	_, query, _ := strings.Cut(target, "?")
@@ -78,6 +80,7 @@
 	return revision
 }
 
+// scheduleKeepAlive sends keepalives at keepAliveInterval, except while the agent is muted.
 func (w *watch) scheduleKeepAlive() {
 	w.keepAlive = w.agent.Host.Loop().After(keepAliveInterval, func() {
 		if !w.agent.Muted {
@@ -87,7 +90,8 @@
 	})
 }
 
-// publish sends what changed since the last message, or the complete list.
+// publish sends the endpoints that have changed since the last message, if any. It sends the complete list on a watch
+// without a revision, and on one with a later revision than the agent's.
 func (w *watch) publish() {
 	if !w.requested || w.conn.closed {
 		return
@@ -109,7 +113,7 @@
 	}
 }
 
-// startResponse sends the response's head before the first message.
+// startResponse sends the head of the response, once, and schedules keepalives.
 func (w *watch) startResponse() {
 	if w.responseStarted {
 		return
@@ -119,9 +123,10 @@
 	w.scheduleKeepAlive()
 }
 
+// sendMessage sends a message, and records its updates once the kernel has accepted it.
 func (w *watch) sendMessage(m message) {
 	if m.Complete {
-		w.unrecorded = append(w.unrecorded, w.removedBy(m)...)
+		w.unrecorded = append(w.unrecorded, w.removedEndpoints(m)...)
 	}
 	w.unrecorded = append(w.unrecorded, m.Members...)
 	w.conn.onFlushed = w.recordSent
@@ -129,8 +134,8 @@
 	w.conn.send(fmt.Appendf(nil, "%x\r\n%s\r\n", len(text), text))
 }
 
-// removedBy returns the endpoints that a complete list removes: those sent before that it does not contain.
-func (w *watch) removedBy(m message) []Endpoint {
+// removedEndpoints returns the endpoints that were sent before and are missing in a complete list, in phase Terminated.
+func (w *watch) removedEndpoints(m message) []Endpoint {
 	listed := map[string]bool{}
 	for _, endpoint := range m.Members {
 		listed[endpoint.ID] = true
@@ -144,7 +149,7 @@
 	return removed
 }
 
-// recordSent records the updates that are flushed.
+// recordSent records the updates that were sent since its last call. It is called when the kernel has accepted all data.
 func (w *watch) recordSent() {
 	now := w.agent.Host.Loop().Now()
 	for _, endpoint := range w.unrecorded {
