--- a/internal/simulation/fake/service.go
+++ b/internal/simulation/fake/service.go
@@ -36,9 +36,9 @@
 type job struct {
 	cost      float64 // ms of one core at full speed
 	expiresAt float64 // deadline of the request
-	onStart   func() // called when the job starts to run
-	onDone    func() // called when the job has run to its end
-	onExpired func() // called instead of onStart and onDone if the job is dropped from the queue after expiresAt
+	onStart   func()  // called when the job starts to run
+	onDone    func()  // called when the job has run to its end
+	onExpired func()  // called instead of onStart and onDone if the job is dropped from the queue after expiresAt
 	state     jobState
 }
 
--- a/internal/simulation/fake/upstream_conn.go
+++ b/internal/simulation/fake/upstream_conn.go
@@ -148,7 +148,8 @@
 	u.Recorder.RequestExecuted(Execution{RequestID: r.ID, Upstream: u.ID, Zone: u.Zone, IdempotencyKey: r.IdempotencyKey, At: now})
 }
 
-// onJobDone makes the calls to the next tier, if there is one, and responds. A failed call leads to status 500.
+// onJobDone makes the calls to the next tier, if there is one, and responds.
+// It responds with status 500 if not all calls were served.
 func (c *upstreamConn) onJobDone(r *http1.Request, j *job) {
 	u := c.upstream
 	if u.NextTier == nil {
