--- a/internal/simulation/fake/call.go
+++ b/internal/simulation/fake/call.go
@@ -16,8 +16,8 @@
 	callServed callOutcome = iota
 	callRejected
 	callFailed
-	callIncomplete // the request was sent, and no complete response was received
-	callUnsent     // the request was not completely sent
+	callIncomplete // no complete response was received after the request was sent, or the client closed the connection
+	callUnsent     // the balancer could not be reached, or the connection was lost before the request was completely sent
 )
 
 // outcomeForStatus returns the outcome of a call whose complete response has the given status.
--- a/internal/simulation/fake/clients.go
+++ b/internal/simulation/fake/clients.go
@@ -22,7 +22,7 @@
 }
 
 const (
-	minRateFactor        = 0.01
+	minRateFactor        = 0.01   // lowest multiple of the request rate; lower values of RateFactor count as this one
 	minFirstRequestDelay = 20.0   // ms, shortest delay from opening a connection to its first request
 	maxFirstRequestDelay = 1800.0 // ms, longest delay from opening a connection to its first request
 	minRetryTime         = 50.0   // ms; a client sends no retry with less time to the deadline
--- a/internal/simulation/fake/registry.go
+++ b/internal/simulation/fake/registry.go
@@ -27,7 +27,7 @@
 type Registry struct {
 	revision  int
 	endpoints []Endpoint // endpoints that are not terminated, in the sequence in which they were added
-	changes   []change   // all changes, by revision
+	changes   []change   // all changes, by ascending revision
 	agents    []*Agent   // agents that receive each change
 }
 
