--- a/internal/simulation/faultinject/files.go
+++ b/internal/simulation/faultinject/files.go
@@ -38,8 +38,8 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// FileCalls are the calls on files that Files wraps, as package hotrestart makes them.
-type FileCalls interface {
+// FileSystem are the calls on files that Files wraps, as package hotrestart makes them.
+type FileSystem interface {
 	Write(path string, data []byte) error
 	Rename(from, to string) error
 	Sync(dir string) error
@@ -48,13 +48,13 @@
 
 // Files are calls on files that fail or are slow.
 type Files struct {
-	inner     FileCalls
+	inner     FileSystem
 	rules     []FileRule
 	createdAt time.Time
 }
 
 // NewFiles wraps calls on files. The times of the rules count from now on.
-func NewFiles(inner FileCalls, rules []FileRule) *Files {
+func NewFiles(inner FileSystem, rules []FileRule) *Files {
 	return &Files{inner: inner, rules: rules, createdAt: time.Now()}
 }
 
--- a/internal/simulation/faultinject/kernel.go
+++ b/internal/simulation/faultinject/kernel.go
@@ -18,14 +18,14 @@
 type Kernel struct {
 	loop.Kernel
 	rules      []Rule
-	steps      []Step
+	steps      []ClockStep
 	createdAt  float64
 	rulesSetAt float64
 	rng        *rand.Rand
 }
 
 // New wraps a kernel. The seed decides which calls fail of those that rules apply to.
-func New(k loop.Kernel, seed uint64, rules []Rule, steps []Step) *Kernel {
+func New(k loop.Kernel, seed uint64, rules []Rule, steps []ClockStep) *Kernel {
 	wrapper := &Kernel{Kernel: k, steps: steps, createdAt: k.Now(), rng: rand.New(rand.NewPCG(seed, streamNumber))}
 	wrapper.SetRules(rules)
 	return wrapper
--- a/internal/simulation/faultinject/rules.go
+++ b/internal/simulation/faultinject/rules.go
@@ -41,8 +41,8 @@
 	return !ended && !exhausted
 }
 
-// Step is a step of the wall clock.
-type Step struct {
+// ClockStep is a step of the wall clock.
+type ClockStep struct {
 	AtMS     float64 // after the kernel was created
 	OffsetMS float64 // forward or back
 }
--- a/internal/simulation/faultinject/schedule.go
+++ b/internal/simulation/faultinject/schedule.go
@@ -96,9 +96,9 @@
 			MaxHits:    r.MaxHits,
 		})
 	}
-	steps := make([]Step, 0, len(s.Steps))
+	steps := make([]ClockStep, 0, len(s.Steps))
 	for _, step := range s.Steps {
-		steps = append(steps, Step(step))
+		steps = append(steps, ClockStep(step))
 	}
 	return New(k, s.Seed, rules, steps), nil
 }
--- a/internal/simulation/randstream/randstream.go
+++ b/internal/simulation/randstream/randstream.go
@@ -17,10 +17,10 @@
 type Stream struct{ *rand.Rand }
 
 // New returns the stream of a name under a seed. The same arguments always give the same numbers.
-func New(seed uint64, name string) Stream { return Numbered(seed, Hash(seed, name)) }
+func New(seed uint64, name string) Stream { return NewNumbered(seed, Hash(seed, name)) }
 
-// Numbered returns a stream that is named by two numbers.
-func Numbered(seed, number uint64) Stream { return Stream{rand.New(rand.NewPCG(seed, number))} }
+// NewNumbered returns a stream that is named by two numbers.
+func NewNumbered(seed, number uint64) Stream { return Stream{rand.New(rand.NewPCG(seed, number))} }
 
 // Hash returns the hash of a seed and a name.
 func Hash(seed uint64, name string) uint64 {
--- a/internal/simulation/simnet/kernel.go
+++ b/internal/simulation/simnet/kernel.go
@@ -159,7 +159,7 @@
 	p.spendCallTime()
 	s := newSocket(p)
 	p.connectionsBegun++
-	rng := randstream.Numbered(p.id, p.connectionsBegun)
+	rng := randstream.NewNumbered(p.id, p.connectionsBegun)
 	s.rng = &rng
 	s.tiebreaker = randstream.CombineHash(p.id, p.connectionsBegun)
 	s.connecting = true
