--- a/internal/simulation/faultinject/files.go
+++ b/internal/simulation/faultinject/files.go
@@ -6,10 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// FileCall is the name of a call on files that can fail, as schedules give it.
+// FileCall is the name of a file operation in a fault schedule.
 type FileCall string
 
-// The calls on files.
+// The file operations that can fail or be delayed.
 const (
 	FileWrite  FileCall = "file_write"
 	FileRename FileCall = "file_rename"
@@ -17,18 +17,18 @@
 	FileRemove FileCall = "file_remove"
 )
 
-// FileRule tells how a call on files fails: after a delay, with an error if there is one.
+// FileRule delays a file operation, and makes it fail if the rule has an error.
 type FileRule struct {
 	Call       FileCall `json:"call"`
-	ErrnoName  string   `json:"errno"` // "" for a call that is slow only
-	FromMS     float64  `json:"from_ms"`
-	DurationMS float64  `json:"for_ms"` // 0 for no end
+	ErrnoName  string   `json:"errno"`   // "" delays the operation and lets it proceed
+	FromMS     float64  `json:"from_ms"` // time since NewFiles at which the rule begins to apply
+	DurationMS float64  `json:"for_ms"`  // 0 means that the rule applies without end
 	DelayMS    float64  `json:"delay_ms"`
 
-	errno unix.Errno // of ErrnoName
+	errno unix.Errno // value of ErrnoName, set by schedule.resolve
 }
 
-// active reports whether the rule applies at a time after the start.
+// active reports whether the rule applies when elapsed has passed since NewFiles.
 func (r *FileRule) active(elapsed time.Duration) bool {
 	if elapsed < milliseconds(r.FromMS) {
 		return false
@@ -36,9 +36,11 @@
 	return r.DurationMS == 0 || elapsed < milliseconds(r.FromMS+r.DurationMS)
 }
 
+// milliseconds converts ms to a time.Duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// FileSystem are the calls on files that Files wraps, as package hotrestart makes them.
+// FileSystem is the set of file operations that Files wraps.
+// It has the methods of hotrestart.FileSystem.
 type FileSystem interface {
 	Write(path string, data []byte) error
 	Rename(from, to string) error
@@ -46,19 +48,20 @@
 	Remove(path string) error
 }
 
-// Files are calls on files that fail or are slow.
+// Files is a FileSystem whose operations fail or are delayed as its rules say.
 type Files struct {
 	inner     FileSystem
 	rules     []FileRule
 	createdAt time.Time
 }
 
-// NewFiles wraps calls on files. The times of the rules count from now on.
+// NewFiles returns inner with the faults of the rules. The times of the rules count from this call.
 func NewFiles(inner FileSystem, rules []FileRule) *Files {
 	return &Files{inner: inner, rules: rules, createdAt: time.Now()}
 }
 
-// failure waits as long as the rules say, and returns the error of a call, nil if it is to be made.
+// failure sleeps for the delays of the active rules, up to the first rule that has an error, and returns that error.
+// It returns nil if the operation is to be carried out.
 func (f *Files) failure(call FileCall) error {
 	elapsed := time.Since(f.createdAt)
 	for i := range f.rules {
@@ -74,7 +77,7 @@
 	return nil
 }
 
-// Write writes a file, or fails.
+// Write writes a file. It returns the injected error if a rule applies.
 func (f *Files) Write(path string, data []byte) error {
 	if err := f.failure(FileWrite); err != nil {
 		return err
@@ -82,7 +85,7 @@
 	return f.inner.Write(path, data)
 }
 
-// Rename renames a file, or fails.
+// Rename renames a file. It returns the injected error if a rule applies.
 func (f *Files) Rename(from, to string) error {
 	if err := f.failure(FileRename); err != nil {
 		return err
@@ -90,7 +93,7 @@
 	return f.inner.Rename(from, to)
 }
 
-// Sync syncs a directory, or fails.
+// Sync syncs a directory to stable storage. It returns the injected error if a rule applies.
 func (f *Files) Sync(dir string) error {
 	if err := f.failure(FileSync); err != nil {
 		return err
@@ -98,7 +101,7 @@
 	return f.inner.Sync(dir)
 }
 
-// Remove removes a file, or fails.
+// Remove removes a file. It returns the injected error if a rule applies.
 func (f *Files) Remove(path string) error {
 	if err := f.failure(FileRemove); err != nil {
 		return err
--- a/internal/simulation/faultinject/rules.go
+++ b/internal/simulation/faultinject/rules.go
@@ -2,10 +2,10 @@
 
 import "golang.org/x/sys/unix"
 
-// Call is the name of a kernel call that can fail, as schedules give it.
+// Call is the name of a system call in a fault schedule.
 type Call string
 
-// The calls.
+// The system calls that can fail.
 const (
 	Accept  Call = "accept"
 	Connect Call = "connect"
@@ -17,21 +17,21 @@
 	Wait    Call = "wait"
 )
 
-// Short is an Errno that makes reads and writes transfer one byte, instead of failing.
+// Short is the Errno of rules under which reads and writes transfer a single byte and do not fail.
 const Short = unix.Errno(0)
 
-// Rule tells how a call fails.
+// Rule makes a system call fail.
 type Rule struct {
 	Call       Call
-	Errno      unix.Errno // or Short
-	FromMS     float64    // after the rules were set
-	DurationMS float64    // 0 for no end
-	Fraction   float64    // of the calls that fail, 0 for all
-	MaxHits    int        // 0 for no limit
-	hits       int
+	Errno      unix.Errno // error that the call returns, or Short
+	FromMS     float64    // time since SetRules at which the rule begins to apply
+	DurationMS float64    // 0 means that the rule applies without end
+	Fraction   float64    // fraction of the calls that fail; 0 means all
+	MaxHits    int        // number of calls that fail; 0 means no limit
+	hits       int        // calls that have failed so far
 }
 
-// active reports whether the rule applies so many ms after the rules were set.
+// active reports whether the rule applies when elapsed ms have passed since SetRules.
 func (r *Rule) active(elapsed float64) bool {
 	if elapsed < r.FromMS {
 		return false
@@ -41,8 +41,8 @@
 	return !ended && !exhausted
 }
 
-// ClockStep is a step of the wall clock.
+// ClockStep sets the wall clock forward or back.
 type ClockStep struct {
-	AtMS     float64 // after the kernel was created
-	OffsetMS float64 // forward or back
+	AtMS     float64 // time since New at which the clock is set
+	OffsetMS float64 // positive sets the clock forward, negative sets it back
 }
--- a/internal/simulation/faultinject/schedule.go
+++ b/internal/simulation/faultinject/schedule.go
@@ -11,7 +11,7 @@
 	"salttrack/internal/loop"
 )
 
-// schedule is a file of faults.
+// schedule is the content of a fault schedule file.
 type schedule struct {
 	Seed  uint64         `json:"seed"`
 	Rules []scheduleRule `json:"rules"`
@@ -19,7 +19,7 @@
 	Steps []scheduleStep `json:"steps"`
 }
 
-// scheduleRule is a Rule. ErrnoName is the name of an error, or shortName.
+// scheduleRule is the JSON form of a Rule. ErrnoName is a key of errnos.
 type scheduleRule struct {
 	Call       Call    `json:"call"`
 	ErrnoName  string  `json:"errno"`
@@ -29,16 +29,16 @@
 	MaxHits    int     `json:"times"`
 }
 
-// scheduleStep is a Step.
+// scheduleStep is the JSON form of a ClockStep.
 type scheduleStep struct {
 	AtMS     float64 `json:"at_ms"`
 	OffsetMS float64 `json:"by_ms"`
 }
 
-// shortName is the name of Short.
+// shortName is the name of Short in schedules.
 const shortName = "short"
 
-// errnos are the errors that schedules may name.
+// errnos maps the errno names that a schedule may contain to their values.
 var errnos = map[string]unix.Errno{
 	shortName:       Short,
 	"EINTR":         unix.EINTR,
@@ -59,19 +59,19 @@
 	"EIO":           unix.EIO,
 }
 
-// calls are those that schedules may name.
+// calls is the set of system calls that a schedule may contain.
 var calls = map[Call]bool{
 	Accept: true, Connect: true, Listen: true, Read: true, Write: true, Add: true, Modify: true, Wait: true,
 }
 
-// ScheduleError is an error in a schedule file.
+// ScheduleError reports an invalid fault schedule file.
 type ScheduleError struct {
 	File   string
-	Path   string // of the value, as in "rules[2].errno"; "" if the file can't be parsed
+	Path   string // JSON path of the invalid value, for example "rules[2].errno"; "" if the file can't be parsed
 	Reason string
 }
 
-// Error returns file, path and reason.
+// Error returns the file, the path if there is one, and the reason.
 func (e *ScheduleError) Error() string {
 	if e.Path == "" {
 		return fmt.Sprintf("fault schedule %s: %s", e.File, e.Reason)
@@ -79,7 +79,8 @@
 	return fmt.Sprintf("fault schedule %s: %s: %s", e.File, e.Path, e.Reason)
 }
 
-// Load reads a schedule file and wraps a kernel by it. An invalid one gives a *ScheduleError.
+// Load reads a schedule file and returns a kernel that injects its faults into k.
+// It returns a *ScheduleError if the file is invalid.
 func Load(path string, k loop.Kernel) (*Kernel, error) {
 	s, err := readSchedule(path)
 	if err != nil {
@@ -103,8 +104,8 @@
 	return New(k, s.Seed, rules, steps), nil
 }
 
-// LoadFileRules reads the rules for files of a schedule file. An empty path has none. An invalid file gives a
-// *ScheduleError.
+// LoadFileRules reads a schedule file and returns its rules for file operations.
+// It returns no rules if the path is empty, and a *ScheduleError if the file is invalid.
 func LoadFileRules(path string) ([]FileRule, error) {
 	if path == "" {
 		return nil, nil
@@ -116,7 +117,7 @@
 	return s.Files, nil
 }
 
-// readSchedule reads and checks a schedule file.
+// readSchedule reads and validates a schedule file.
 func readSchedule(path string) (*schedule, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -134,23 +135,24 @@
 	return &s, nil
 }
 
-// resolve looks up the names of calls and errors. It returns the path of the first unknown one, "" if all are known.
+// resolve looks up the names of system calls and errors.
+// It returns the JSON path of the first unknown name and the reason, or two empty strings if all names are known.
 func (s *schedule) resolve() (invalidPath, reason string) {
 	for i := range s.Files {
 		rule := &s.Files[i]
 		var known bool
 		rule.errno, known = errnos[rule.ErrnoName]
 		if !known && rule.ErrnoName != "" {
-			return fmt.Sprintf("files[%d].errno", i), fmt.Sprintf("unknown error %q", rule.ErrnoName)
+			return fmt.Sprintf("files[%d].errno", i), fmt.Sprintf("unknown errno name %q", rule.ErrnoName)
 		}
 	}
 	for i := range s.Rules {
 		rule := &s.Rules[i]
 		if !calls[rule.Call] {
-			return fmt.Sprintf("rules[%d].call", i), fmt.Sprintf("unknown call %q", rule.Call)
+			return fmt.Sprintf("rules[%d].call", i), fmt.Sprintf("unknown system call %q", rule.Call)
 		}
 		if _, known := errnos[rule.ErrnoName]; !known {
-			return fmt.Sprintf("rules[%d].errno", i), fmt.Sprintf("unknown error %q", rule.ErrnoName)
+			return fmt.Sprintf("rules[%d].errno", i), fmt.Sprintf("unknown errno name %q", rule.ErrnoName)
 		}
 	}
 	return "", ""
--- a/internal/simulation/faultinject/schedule_test.go
+++ b/internal/simulation/faultinject/schedule_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// An invalid schedule gives an error with file and path.
+// TestScheduleError checks that the error of an invalid schedule has the file and the path of the invalid value.
 func TestScheduleError(t *testing.T) {
 	for _, tt := range []struct{ name, text, path string }{
-		{"no JSON", `{`, ""},
-		{"unknown name", `{"rule": []}`, ""},
-		{"unknown call", `{"rules": [{"call": "open", "errno": "EIO"}]}`, "rules[0].call"},
-		{"unknown error", `{"rules": [{"call": "read", "errno": "EWRONG"}]}`, "rules[0].errno"},
-		{"unknown error of a file", `{"files": [{"call": "file_sync"}, {"call": "file_sync", "errno": "EWRONG"}]}`, "files[1].errno"},
+		{"invalid JSON", `{`, ""},
+		{"unknown key", `{"rule": []}`, ""},
+		{"unknown system call", `{"rules": [{"call": "open", "errno": "EIO"}]}`, "rules[0].call"},
+		{"unknown errno name of a system call", `{"rules": [{"call": "read", "errno": "EWRONG"}]}`, "rules[0].errno"},
+		{"unknown errno name of a file operation", `{"files": [{"call": "file_sync"}, {"call": "file_sync", "errno": "EWRONG"}]}`, "files[1].errno"},
 	} {
 		file := filepath.Join(t.TempDir(), "schedule.json")
 		if err := os.WriteFile(file, []byte(tt.text), 0o600); err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// A schedule that can't be read gives the error of the file system.
+// TestMissingSchedule checks that Load returns the error of the file system if a schedule can't be read.
 func TestMissingSchedule(t *testing.T) {
 	if _, err := Load("/nowhere/schedule.json", nil); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("%v, want %v", err, fs.ErrNotExist)
--- a/internal/simulation/names/names.go
+++ b/internal/simulation/names/names.go
@@ -1,10 +1,13 @@
-// Package names is the one table of the simulator's stored spellings and the Go names for them. Fault types and rules
-// stand in scenario files, reports and command lines; names of random streams, processes, machines and events enter the
-// hash of a run. No spelling may change: it would break stored scenarios or the comparison of runs. Keys of scenario
-// files are mapped by the tags of scenario.Scenario.
+// Package names defines a Go constant for each string that the simulator stores or hashes.
+//
+// Fault types and rules are written in scenario files, reports and command lines.
+// Names of random streams, processes, machines and scheduled events determine the random numbers, the order of events
+// and the hash of a run.
+// No value may change: stored scenarios could no longer be read, or runs could no longer be compared by their hash.
+// The keys of scenario files are the JSON tags of scenario.Scenario.
 package names
 
-// FaultType is the name of a fault type, as scenario files and the command line give it.
+// FaultType is the name of a fault type in scenario files and on the command line.
 type FaultType string
 
 // Faults of upstreams.
@@ -68,90 +71,91 @@
 	MalformedClients  FaultType = "rude"
 )
 
-// Rule is the name of a rule that a run is checked against, as reports and the command line give it.
+// Rule is the name of a rule that each run is checked against, in reports and on the command line.
 type Rule string
 
-// The rules.
+// The rules. The comment of each rule describes its violation.
 const (
-	LostRequest            Rule = "lost"         // an accepted request got no response
-	LateResponse           Rule = "late"         // the response came after the deadline
-	ExtraResponse          Rule = "second"       // more was sent than one response
-	CrossedResponse        Rule = "crossed"      // the response belongs to another request
-	DuplicateExecution     Rule = "twice"        // a request that must run once ran again
-	FalseRejection         Rule = "refusal"      // a request was rejected although it ran
-	AttemptAfterResponse   Rule = "after-answer" // an attempt began after the final response
-	DrainingUpstreamUsed   Rule = "drain"        // an attempt went to a draining upstream after the grace period
-	DisabledUpstreamUsed   Rule = "taken-out"    // an attempt went to an upstream that operators disabled
-	WarmingUpstreamCrashed Rule = "cold"         // a warming upstream was overloaded until it crashed
-	TooManyAttempts        Rule = "attempts"     // a request had more attempts than allowed
+	LostRequest            Rule = "lost"         // a request that a balancer received got no response
+	LateResponse           Rule = "late"         // a response arrived after the deadline of its request
+	ExtraResponse          Rule = "second"       // a balancer sent a second response or data without a request
+	CrossedResponse        Rule = "crossed"      // a client got the response to another request
+	DuplicateExecution     Rule = "twice"        // a request that must be executed at most once was executed again
+	FalseRejection         Rule = "refusal"      // a balancer rejected a request that an upstream executed
+	AttemptAfterResponse   Rule = "after-answer" // an attempt began after the final response or a cancellation
+	DrainingUpstreamUsed   Rule = "drain"        // an attempt was sent to a draining upstream after the grace period
+	DisabledUpstreamUsed   Rule = "taken-out"    // an attempt was sent to an upstream that operators disabled
+	WarmingUpstreamCrashed Rule = "cold"         // an upstream that was warming up crashed from overload
+	TooManyAttempts        Rule = "attempts"     // a request had more attempts than the limit
 	UnknownRequest         Rule = "unasked"      // an upstream received a request that no client sent
-	MalformedRequest       Rule = "malformed"    // an upstream received a request that can't be parsed
-	MalformedInputAccepted Rule = "rude"         // malformed input was served, or neither rejected nor closed in time
-	LeakedState            Rule = "left-over"    // a balancer still held something at its exit
-	CounterMismatch        Rule = "counters"     // the counters disagree with what was recorded
-	Panic                  Rule = "crash"        // the program panicked, or iterated without end
-	ShutdownTimeout        Rule = "no-end"       // a balancer did not exit in time
+	MalformedRequest       Rule = "malformed"    // an upstream received a request that is not valid HTTP
+	MalformedInputAccepted Rule = "rude"         // malformed input was served, or neither a rejection nor a close followed in time
+	LeakedState            Rule = "left-over"    // a balancer had unfinished work or open descriptors when idle or at exit
+	CounterMismatch        Rule = "counters"     // a balancer's counters differ from the events recorded on the wire
+	Panic                  Rule = "crash"        // the program panicked or ran too many loop iterations within a second
+	ShutdownTimeout        Rule = "no-end"       // a balancer did not exit before the shutdown timeout
 )
 
-// Rules lists all rules.
+// Rules contains all rules.
 var Rules = []Rule{LostRequest, LateResponse, ExtraResponse, CrossedResponse, DuplicateExecution, FalseRejection,
 	AttemptAfterResponse, DrainingUpstreamUsed, DisabledUpstreamUsed, WarmingUpstreamCrashed, TooManyAttempts,
 	UnknownRequest, MalformedRequest, MalformedInputAccepted, LeakedState, CounterMismatch, Panic, ShutdownTimeout}
 
-// Random streams of scenario generation. ScenarioFaultStream takes the number of the fault.
+// Random streams of the generation of scenarios.
 const (
 	ScenarioStream         = "world"
 	ScenarioDeadlineStream = "deadlines"
-	ScenarioFaultStream    = "script/%d"
+	ScenarioFaultStream    = "script/%d" // index of the fault
 )
 
-// Prefixes of random streams and of process seeds; the name of what draws follows.
+// Prefixes of the names of random streams and process seeds.
 const (
-	KernelStream          = "kernel/"
-	ProcessSeed           = "process/"
-	NestedCallerSeed      = "chain/"
-	UpstreamStream        = "upstream/"
-	UpstreamFaultStream   = "trouble/"
-	ClientArrivalStream   = "callers/"
-	ClientRequestStream   = "client/"
-	MalformedInputStream  = "rude/"
-	NestedCallerStream    = "chain/"
-	BalancerPoolStream    = "front/"
-	FaultStream           = "fault/"
-	RestartNoticeStream   = "leave/"
-	DiscoveryAgentStream  = "agent/%s/%d" // balancer, number of moves of its agent
-	CostlyRequestStream   = "costly"      // after UpstreamFaultStream, as the three below
+	KernelStream          = "kernel/"     // followed by the process
+	ProcessSeed           = "process/"    // followed by the process, or by NestedCallerSeed
+	NestedCallerSeed      = "chain/"      // followed by the process of the upstream that makes the calls
+	UpstreamStream        = "upstream/"   // followed by the upstream
+	UpstreamFaultStream   = "trouble/"    // followed by one of the last four constants, a slash and the upstream
+	ClientArrivalStream   = "callers/"    // followed by the zone
+	ClientRequestStream   = "client/"     // followed by the zone
+	MalformedInputStream  = "rude/"       // followed by the zone
+	NestedCallerStream    = "chain/"      // followed by the balancer that receives the calls
+	BalancerPoolStream    = "front/"      // followed by the process of the clients
+	FaultStream           = "fault/"      // followed by the ID of the fault
+	RestartNoticeStream   = "leave/"      // followed by the balancer
+	DiscoveryAgentStream  = "agent/%s/%d" // arguments: balancer, number of moves of its discovery agent
+	CostlyRequestStream   = "costly"
 	ErrorResponseStream   = "errors"
 	CorruptResponseStream = "spoil"
 	ExtraResponseStream   = "surplus"
 )
 
-// Processes and machines.
+// Names of processes and machines.
 const (
-	BalancerName         = "b%d"    // number
-	NestedBalancerName   = "c%d-%d" // tier, number
-	BalancerProcess      = "%s.%d"  // balancer, number of the start
-	BalancerMachine      = "m-b%d"
-	UpstreamName         = "u%d-%d"    // tier, number
-	UpstreamGeneration   = "u%d-%d.%d" // tier, number, number of the start
-	UpstreamProcess      = "%s.%d"     // upstream, number of the start
-	UpstreamMachine      = "m-u%d-%d"
-	ClientProcessPrefix  = "callers-" // the zone follows
-	ClientMachinePrefix  = "m-callers-"
-	DiscoveryAgentPrefix = "agent-" // the balancer follows
+	BalancerName         = "b%d"        // argument: index of the balancer
+	NestedBalancerName   = "c%d-%d"     // arguments: tier, index of the balancer
+	BalancerProcess      = "%s.%d"      // arguments: balancer, number of the start
+	BalancerMachine      = "m-b%d"      // argument: index of the balancer
+	UpstreamName         = "u%d-%d"     // arguments: tier, index of the replica
+	UpstreamGeneration   = "u%d-%d.%d"  // arguments: tier, index of the replica, generation of the replica
+	UpstreamProcess      = "%s.%d"      // arguments: upstream, generation of the replica
+	UpstreamMachine      = "m-u%d-%d"   // arguments: tier, index of the replica
+	ClientProcessPrefix  = "callers-"   // followed by the zone
+	ClientMachinePrefix  = "m-callers-" // followed by the zone
+	DiscoveryAgentPrefix = "agent-"     // followed by the balancer
 )
 
-// Scheduled events. All but ClientsStart are prefixes.
+// Names of scheduled events.
+// The second half of each comment says what happens at the event.
 const (
-	BalancerStart   = "start/"
-	BalancerRestart = "again/"
-	ExitDeadline    = "killed/"
-	FaultBegin      = "begin/"
-	FaultEnd        = "end/"
-	UpstreamCrash   = "fell/"
-	ClientsStart    = "callers/%d" // number of the zone
-	NextStall       = "stutter"    // within a fault, as those below
-	DeployReplica   = "deploy-%d"
-	DeployedReplica = "gone-%d"
-	RestartDisabled = "anew"
+	BalancerStart   = "start/"     // followed by the balancer; its first process starts
+	BalancerRestart = "again/"     // followed by the process that has exited; its successor starts
+	ExitDeadline    = "killed/"    // followed by the process that got SIGTERM; it must have exited
+	FaultBegin      = "begin/"     // followed by the ID of the fault; it begins
+	FaultEnd        = "end/"       // followed by the ID of the fault; it ends
+	UpstreamCrash   = "fell/"      // followed by the process of an upstream; it crashes from overload
+	ClientsStart    = "callers/%d" // argument: index of the zone; its clients begin to send requests
+	NextStall       = "stutter"    // the next stall of RepeatedStalls begins
+	DeployReplica   = "deploy-%d"  // argument: position in a RollingDeploy; the replica begins to drain
+	DeployedReplica = "gone-%d"    // argument: position in a RollingDeploy; its old process ends and a new one starts
+	RestartDisabled = "anew"       // the upstream of a DisableUpstream fault restarts
 )
--- a/internal/simulation/simnet/connect.go
+++ b/internal/simulation/simnet/connect.go
@@ -6,17 +6,17 @@
 	maxBacklog           = 512
 	connectRetryInterval = 1000.0 // ms, of an attempt that got no answer
 
-	// refusedLookupJitter is the jitter in ms of an attempt to connect to an address without a listener.
-	refusedLookupJitter = 0.01
+	// noListenerJitter is the jitter in ms of an attempt to connect to an address without a listener.
+	noListenerJitter = 0.01
 )
 
 // sendConnect sends a connection attempt.
 func (n *Network) sendConnect(s *socket) {
-	at := s.process.Now() + s.rng.Float64()*refusedLookupJitter
+	at := s.process.Now() + s.rng.Float64()*noListenerJitter
 	if listener := n.listeners[s.addr]; listener != nil {
 		at = s.process.Now() + n.latency(s.process, listener.process, s.rng)
 	} else {
-		at += n.replyLatency(s.process)
+		at += n.hostReplyLatency(s.process)
 	}
 	s.enqueue(event{at: at, callback: func() { n.receiveConnect(s) }})
 }
@@ -31,7 +31,7 @@
 		n.refuseConnect(s)
 		return
 	}
-	if n.separated(s.process, listener.process) || len(listener.backlog) >= maxBacklog || listener.queueingStopped {
+	if n.isPartitioned(s.process, listener.process) || len(listener.backlog) >= maxBacklog || listener.queueingStopped {
 		n.retryConnect(s)
 		return
 	}
@@ -40,12 +40,12 @@
 
 // refuseConnect refuses a connection attempt without a listener. An unreachable machine sends no refusal.
 func (n *Network) refuseConnect(s *socket) {
-	if owner := n.lastListener(s.addr); owner != nil && n.separated(s.process, owner) {
+	if owner := n.lastProcessListeningAt(s.addr); owner != nil && n.isPartitioned(s.process, owner) {
 		n.retryConnect(s)
 		return
 	}
 	n.tracef("%s connect to %s refused", s.process.name, s.addr)
-	s.enqueue(event{at: n.now + n.replyLatency(s.process), callback: s.receiveReset})
+	s.enqueue(event{at: n.now + n.hostReplyLatency(s.process), callback: s.receiveReset})
 }
 
 func (n *Network) retryConnect(s *socket) {
@@ -61,13 +61,13 @@
 	accepted.rng = s.rng
 	accepted.tiebreaker = s.tiebreaker ^ 1
 	back := n.latency(listener.process, s.process, s.rng)
-	s.enqueue(event{at: n.now + back, callback: s.connected})
+	s.enqueue(event{at: n.now + back, callback: s.handleConnected})
 	accepted.enqueue(event{at: n.now + 2*back, callback: func() { listener.addToBacklog(accepted) }})
 	accepted.outgoing.lastArrival = n.now + back
 }
 
-// connected handles the answer to a connection attempt.
-func (s *socket) connected() {
+// handleConnected handles the answer to a connection attempt.
+func (s *socket) handleConnected() {
 	if !s.connecting || s.closed || s.isReset {
 		return
 	}
@@ -87,8 +87,8 @@
 	s.process.notify(s)
 }
 
-// lastListener returns the process that last listened at an address, nil if none did.
-func (n *Network) lastListener(addr netip.AddrPort) *Process {
+// lastProcessListeningAt returns the process that last listened at an address, nil if none did.
+func (n *Network) lastProcessListeningAt(addr netip.AddrPort) *Process {
 	for i := len(n.processes) - 1; i >= 0; i-- {
 		if n.processes[i].listenAddr == addr {
 			return n.processes[i]
--- a/internal/simulation/simnet/faults.go
+++ b/internal/simulation/simnet/faults.go
@@ -20,12 +20,12 @@
 }
 
 // Partition stops all segments between two zones, silently. Heal undoes it.
-func (n *Network) Partition(zoneA, zoneB string) { n.partitioned[newZonePair(zoneA, zoneB)] = true }
+func (n *Network) Partition(zoneA, zoneB string) { n.partitionedZones[newZonePair(zoneA, zoneB)] = true }
 
 // Heal ends a partition.
 func (n *Network) Heal(zoneA, zoneB string, mode HealMode) {
-	delete(n.partitioned, newZonePair(zoneA, zoneB))
-	n.resume(mode)
+	delete(n.partitionedZones, newZonePair(zoneA, zoneB))
+	n.resumeConnections(mode)
 }
 
 // Isolate stops all segments from and to a machine, silently. Reconnect undoes it.
@@ -40,7 +40,7 @@
 	for _, p := range n.processesOf(machine) {
 		p.isolated = false
 	}
-	n.resume(mode)
+	n.resumeConnections(mode)
 }
 
 func (n *Network) processesOf(machine string) []*Process {
@@ -67,20 +67,20 @@
 // ClockOffset returns by how many ms the clock of all machines was stepped in total.
 func (n *Network) ClockOffset() float64 { return n.clockOffset }
 
-// separated reports whether no segment passes between two processes.
-func (n *Network) separated(p, q *Process) bool {
+// isPartitioned reports whether no segment passes between two processes.
+func (n *Network) isPartitioned(p, q *Process) bool {
 	if p.machine == q.machine {
 		return false
 	}
-	return p.isolated || q.isolated || len(n.partitioned) > 0 && n.partitioned[newZonePair(p.zone, q.zone)]
+	return p.isolated || q.isolated || len(n.partitionedZones) > 0 && n.partitionedZones[newZonePair(p.zone, q.zone)]
 }
 
-// resume resumes or resets the connections that were suspended and are not separated any more.
-func (n *Network) resume(mode HealMode) {
+// resumeConnections resumes or resets the connections that were suspended and are not separated any more.
+func (n *Network) resumeConnections(mode HealMode) {
 	n.removeClosed()
-	for _, s := range n.connectors {
+	for _, s := range n.initiators {
 		peer := s.peer
-		if peer == nil || !s.outgoing.suspended && !peer.outgoing.suspended || n.separated(s.process, peer.process) {
+		if peer == nil || !s.outgoing.suspended && !peer.outgoing.suspended || n.isPartitioned(s.process, peer.process) {
 			continue
 		}
 		s.outgoing.resume(mode)
@@ -90,13 +90,13 @@
 
 // removeClosed removes connections of which both ends are closed and nothing is in transit.
 func (n *Network) removeClosed() {
-	open := n.connectors[:0]
-	for _, s := range n.connectors {
+	open := n.initiators[:0]
+	for _, s := range n.initiators {
 		closed := s.closed && (s.peer == nil || s.peer.closed) && len(s.outgoing.segments) == 0
 		if !closed {
 			open = append(open, s)
 		}
 	}
-	clear(n.connectors[len(open):])
-	n.connectors = open
+	clear(n.initiators[len(open):])
+	n.initiators = open
 }
--- a/internal/simulation/simnet/kernel.go
+++ b/internal/simulation/simnet/kernel.go
@@ -9,8 +9,8 @@
 	"salttrack/internal/simulation/randstream"
 )
 
-// callDuration is the time that a system call takes, in ms.
-const callDuration = 0.002
+// systemCallDuration is the time that a system call takes, in ms.
+const systemCallDuration = 0.002
 
 const (
 	firstDescriptor = 3
@@ -28,14 +28,14 @@
 // Wall returns the clock of the machine, which may have been stepped.
 func (p *Process) Wall() float64 { return p.Now() + p.net.clockOffset }
 
-// spendCallTime advances the process's clock by the duration of a system call.
-func (p *Process) spendCallTime() { p.clock = max(p.clock, p.net.now) + callDuration }
+// advanceClock advances the process's clock by the duration of a system call.
+func (p *Process) advanceClock() { p.clock = max(p.clock, p.net.now) + systemCallDuration }
 
 // Wait returns ready descriptors in random order, as a kernel promises none. It does not block: the next iteration is
 // planned when something is ready.
 func (p *Process) Wait(into []loop.Event, _ int) (int, error) {
-	p.spendCallTime()
-	list := p.candidates
+	p.advanceClock()
+	list := p.readyCandidates
 	if len(list) > 1 {
 		p.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	}
@@ -47,7 +47,7 @@
 			events = s.readyEvents()
 		}
 		if events == 0 {
-			s.candidate = false
+			s.isCandidate = false
 			continue
 		}
 		ready = append(ready, s)
@@ -57,14 +57,14 @@
 		}
 	}
 	clear(list[len(ready):])
-	p.candidates = ready
+	p.readyCandidates = ready
 	return count, nil
 }
 
 // Wake plans an iteration at once.
 func (p *Process) Wake() {
 	p.woken = true
-	p.planBy(p.net.now)
+	p.scheduleIterationBy(p.net.now)
 }
 
 // notify plans an iteration if a socket has become ready.
@@ -72,12 +72,12 @@
 	if !s.isOpen() || !s.watched || p.exited {
 		return
 	}
-	if !s.candidate {
-		s.candidate = true
-		p.candidates = append(p.candidates, s)
+	if !s.isCandidate {
+		s.isCandidate = true
+		p.readyCandidates = append(p.readyCandidates, s)
 	}
 	if s.readyEvents() != 0 {
-		p.planBy(p.net.now)
+		p.scheduleIterationBy(p.net.now)
 	}
 }
 
@@ -123,7 +123,7 @@
 
 // Modify changes the events that a descriptor is watched for.
 func (p *Process) Modify(fd int, events uint32, generation int32) error {
-	p.spendCallTime()
+	p.advanceClock()
 	s := p.socketOf(fd)
 	s.events = events
 	s.generation = generation
@@ -150,32 +150,32 @@
 
 // StopQueueing stops new connections at a listener. They get no answer; those in the backlog can still be accepted.
 func (p *Process) StopQueueing(fd int) {
-	p.spendCallTime()
+	p.advanceClock()
 	p.socketOf(fd).queueingStopped = true
 }
 
 // Connect begins a connection.
 func (p *Process) Connect(addr netip.AddrPort) (int, error) {
-	p.spendCallTime()
+	p.advanceClock()
 	s := newSocket(p)
-	p.connectionsBegun++
-	rng := randstream.NewNumbered(p.id, p.connectionsBegun)
+	p.connectCount++
+	rng := randstream.NewNumbered(p.id, p.connectCount)
 	s.rng = &rng
-	s.tiebreaker = randstream.CombineHash(p.id, p.connectionsBegun)
+	s.tiebreaker = randstream.CombineHash(p.id, p.connectCount)
 	s.connecting = true
 	s.addr = addr
 	fd, err := p.allocateDescriptor(s)
 	if err != nil {
 		return noDescriptor, err
 	}
-	p.net.connectors = append(p.net.connectors, s)
+	p.net.initiators = append(p.net.initiators, s)
 	p.net.sendConnect(s)
 	return fd, nil
 }
 
 // Accept accepts a connection of the backlog.
 func (p *Process) Accept(fd int) (int, error) {
-	p.spendCallTime()
+	p.advanceClock()
 	listener := p.socketOf(fd)
 	if len(listener.backlog) == 0 {
 		return noDescriptor, unix.EAGAIN
@@ -193,26 +193,26 @@
 
 // Read reads received bytes.
 func (p *Process) Read(fd int, buffer []byte) (int, error) {
-	p.spendCallTime()
+	p.advanceClock()
 	return p.socketOf(fd).read(buffer)
 }
 
 // Write writes what the window allows.
 func (p *Process) Write(fd int, data []byte) (int, error) {
-	p.spendCallTime()
+	p.advanceClock()
 	return p.socketOf(fd).write(data)
 }
 
 // IdleOpen reports whether a connection is open and nothing was received on it.
 func (p *Process) IdleOpen(fd int) bool {
 	s := p.socketOf(fd)
-	return !s.connecting && !s.receivedEnd && !s.isReset && len(s.received) == 0
+	return !s.connecting && !s.receivedFIN && !s.isReset && len(s.received) == 0
 }
 
 // PeerClosed reports whether the peer has closed its sending side, or the connection is broken.
 func (p *Process) PeerClosed(fd int) bool {
 	s := p.socketOf(fd)
-	return s.receivedEnd || s.isReset
+	return s.receivedFIN || s.isReset
 }
 
 // CloseWrite closes the sending side of a connection.
--- a/internal/simulation/simnet/kernel_model_test.go
+++ b/internal/simulation/simnet/kernel_model_test.go
@@ -18,8 +18,8 @@
 	pollInterval = 50
 )
 
-// kernelCalls makes calls on a kernel and logs their results.
-type kernelCalls struct {
+// callRecorder makes calls on a kernel and logs their results.
+type callRecorder struct {
 	t          *testing.T
 	kernel     loop.Kernel
 	advance    func(ms float64) // advances the virtual clock, nil on the real kernel
@@ -29,7 +29,7 @@
 }
 
 // await waits until a descriptor is ready for all given events.
-func (k *kernelCalls) await(fd int, events uint32) {
+func (k *callRecorder) await(fd int, events uint32) {
 	k.t.Helper()
 	var ready [16]loop.Event
 	for range maxPolls {
@@ -50,7 +50,7 @@
 }
 
 // add watches a descriptor for all events.
-func (k *kernelCalls) add(fd int) {
+func (k *callRecorder) add(fd int) {
 	k.t.Helper()
 	k.generation++
 	if err := k.kernel.Add(fd, loop.Readable|loop.Writable|loop.HangUp, k.generation); err != nil {
@@ -58,10 +58,10 @@
 	}
 }
 
-func (k *kernelCalls) logf(format string, args ...any) { fmt.Fprintf(&k.results, format+"\n", args...) }
+func (k *callRecorder) logf(format string, args ...any) { fmt.Fprintf(&k.results, format+"\n", args...) }
 
 // connectPair returns a connecting and an accepted descriptor, and the listener.
-func (k *kernelCalls) connectPair() (connected, accepted, listener int) {
+func (k *callRecorder) connectPair() (connected, accepted, listener int) {
 	k.t.Helper()
 	listener, err := k.kernel.Listen(k.addr)
 	if err != nil {
@@ -84,19 +84,19 @@
 	return connected, accepted, listener
 }
 
-func (k *kernelCalls) read(fd int) {
+func (k *callRecorder) read(fd int) {
 	var buffer [8]byte
 	n, err := k.kernel.Read(fd, buffer[:])
 	k.logf("read %q %v", buffer[:n], err)
 }
 
-func (k *kernelCalls) write(fd int, data string) {
+func (k *callRecorder) write(fd int, data string) {
 	n, err := k.kernel.Write(fd, []byte(data))
 	k.logf("write %d %v", n, err)
 }
 
 // callSequences are sequences of calls that have the same results on both kernels.
-var callSequences = map[string]func(k *kernelCalls){
+var callSequences = map[string]func(k *callRecorder){
 	"data and end of stream":          dataAndEnd,
 	"connection refused":              connectionRefused,
 	"close with unread input resets":  closeWithUnreadInput,
@@ -106,7 +106,7 @@
 	"window fills up and opens again": fillWindow,
 }
 
-func dataAndEnd(k *kernelCalls) {
+func dataAndEnd(k *callRecorder) {
 	connected, accepted, _ := k.connectPair()
 	k.read(accepted)
 	k.logf("idle %v", k.kernel.IdleOpen(accepted))
@@ -128,7 +128,7 @@
 	k.read(connected)
 }
 
-func connectionRefused(k *kernelCalls) {
+func connectionRefused(k *callRecorder) {
 	fd, err := k.kernel.Connect(k.addr)
 	k.logf("connect %v", err)
 	k.add(fd)
@@ -136,7 +136,7 @@
 	k.logf("%v, then %v", k.kernel.SocketError(fd), k.kernel.SocketError(fd))
 }
 
-func closeWithUnreadInput(k *kernelCalls) {
+func closeWithUnreadInput(k *callRecorder) {
 	connected, accepted, _ := k.connectPair()
 	k.write(connected, "unread")
 	k.await(accepted, loop.Readable)
@@ -148,7 +148,7 @@
 	k.write(connected, "x")
 }
 
-func writeToClosedPeer(k *kernelCalls) {
+func writeToClosedPeer(k *callRecorder) {
 	connected, accepted, _ := k.connectPair()
 	k.kernel.Close(accepted)
 	k.await(connected, loop.Readable|loop.HangUp)
@@ -159,7 +159,7 @@
 	k.read(connected)
 }
 
-func reuseDescriptors(k *kernelCalls) {
+func reuseDescriptors(k *callRecorder) {
 	connected, accepted, listener := k.connectPair()
 	k.kernel.Close(connected)
 	again, err := k.kernel.Connect(k.addr)
@@ -172,7 +172,7 @@
 	k.logf("accept %v", err)
 }
 
-func closeListener(k *kernelCalls) {
+func closeListener(k *callRecorder) {
 	_, _, listener := k.connectPair()
 	k.kernel.Close(listener)
 	fd, _ := k.kernel.Connect(k.addr)
@@ -185,7 +185,7 @@
 	k.logf("second listener fails %v", err != nil)
 }
 
-func fillWindow(k *kernelCalls) {
+func fillWindow(k *callRecorder) {
 	connected, accepted, _ := k.connectPair()
 	sent := k.writeUntilBlocked(connected)
 	received := 0
@@ -206,7 +206,7 @@
 }
 
 // writeUntilBlocked writes until the kernel accepts no more, and returns how many bytes it has accepted.
-func (k *kernelCalls) writeUntilBlocked(fd int) int {
+func (k *callRecorder) writeUntilBlocked(fd int) int {
 	k.t.Helper()
 	chunk := []byte(strings.Repeat("x", 4096))
 	sent := 0
@@ -216,16 +216,16 @@
 			k.t.Fatal(err)
 		}
 		sent += n
-		stillMoving := k.advance == nil && sent < 1<<20 // the real kernel moves bytes to the peer meanwhile
-		if n == 0 && !stillMoving {
+		mayDrain := k.advance == nil && sent < 1<<20 // the real kernel moves bytes to the peer meanwhile
+		if n == 0 && !mayDrain {
 			break
 		}
 	}
 	return sent
 }
 
-// runOnMachine returns the results of a call sequence on the kernel of this machine.
-func runOnMachine(t *testing.T, sequence func(k *kernelCalls)) string {
+// runOnRealKernel returns the results of a call sequence on the kernel of this machine.
+func runOnRealKernel(t *testing.T, sequence func(k *callRecorder)) string {
 	t.Helper()
 	kernel, err := epoll.New()
 	if err != nil {
@@ -238,20 +238,20 @@
 	}
 	addr := epoll.LocalAddress(listener)
 	unix.Close(listener)
-	calls := &kernelCalls{t: t, kernel: kernel, addr: addr}
+	calls := &callRecorder{t: t, kernel: kernel, addr: addr}
 	sequence(calls)
 	return calls.results.String()
 }
 
-// runOnModel returns the results of a call sequence on a simulated process.
-func runOnModel(t *testing.T, sequence func(k *kernelCalls)) string {
+// runOnSimulatedKernel returns the results of a call sequence on a simulated process.
+func runOnSimulatedKernel(t *testing.T, sequence func(k *callRecorder)) string {
 	t.Helper()
 	net := New(1, 0, func(string, string) Path { return Path{Latency: 1, Jitter: 0.5} })
 	process := net.Spawn("p", "m", "z", 100)
 	// The process has no loop that runs: no iteration may be planned earlier than this one.
-	process.iterationPlanned = true
+	process.iterationScheduled = true
 	process.iterationAt = -1
-	calls := &kernelCalls{
+	calls := &callRecorder{
 		t:       t,
 		kernel:  process,
 		addr:    netip.MustParseAddrPort("127.0.0.1:1000"),
@@ -265,8 +265,8 @@
 func TestSameResultsAsRealKernel(t *testing.T) {
 	for name, sequence := range callSequences {
 		t.Run(name, func(t *testing.T) {
-			machine := runOnMachine(t, sequence)
-			model := runOnModel(t, sequence)
+			machine := runOnRealKernel(t, sequence)
+			model := runOnSimulatedKernel(t, sequence)
 			if machine != model {
 				t.Errorf("the real kernel:\n%s\nthe simulated one:\n%s", machine, model)
 			}
--- a/internal/simulation/simnet/network.go
+++ b/internal/simulation/simnet/network.go
@@ -39,9 +39,9 @@
 	pathBetween func(zoneA, zoneB string) Path
 	listeners   map[netip.AddrPort]*socket
 	processes   []*Process
-	connectors  []*socket // the connecting ends of all connections; closed ones are removed by resume
+	initiators  []*socket // the connecting ends of all connections; closed ones are removed by resume
 
-	partitioned    map[zonePair]bool
+	partitionedZones    map[zonePair]bool
 	latencyFactors map[zonePair]float64
 	fragmentChance float64
 	clockOffset    float64 // ms by which the clock of all machines was stepped
@@ -54,7 +54,7 @@
 		now:            start,
 		pathBetween:    pathBetween,
 		listeners:      map[netip.AddrPort]*socket{},
-		partitioned:    map[zonePair]bool{},
+		partitionedZones:    map[zonePair]bool{},
 		latencyFactors: map[zonePair]float64{},
 	}
 }
@@ -97,5 +97,5 @@
 	return path.Latency * (1 + path.Jitter*rng.Float64())
 }
 
-// replyLatency is the latency without jitter of a reply from a machine without a process.
-func (n *Network) replyLatency(p *Process) float64 { return n.pathBetween(p.zone, p.zone).Latency }
+// hostReplyLatency is the latency without jitter of a reply from a machine without a process.
+func (n *Network) hostReplyLatency(p *Process) float64 { return n.pathBetween(p.zone, p.zone).Latency }
--- a/internal/simulation/simnet/network_test.go
+++ b/internal/simulation/simnet/network_test.go
@@ -72,8 +72,8 @@
 	})
 }
 
-// connectionEvents counts what happens to the connections of a test.
-type connectionEvents struct {
+// connectionCounts counts what happens to the connections of a test.
+type connectionCounts struct {
 	accepted  int
 	connected int
 	reset     int // at the connecting end
@@ -81,7 +81,7 @@
 }
 
 // connect opens a connection from a process and counts what happens to it.
-func (e *connectionEvents) connect(p *Process) {
+func (e *connectionCounts) connect(p *Process) {
 	fd, _ := p.Connect(testAddr)
 	connected := false
 	p.Loop().Add(fd, loop.Readable|loop.Writable, handler(func(events uint32) {
@@ -102,7 +102,7 @@
 // A partition is silent until it heals. Then open connections are reset at both ends, and new ones are established.
 func TestPartition(t *testing.T) {
 	net, a, b := newTestNetwork(1)
-	events := &connectionEvents{}
+	events := &connectionCounts{}
 	serve(b, loop.Readable|loop.HangUp, func(fd int) handler {
 		events.accepted++
 		return func(uint32) {
--- a/internal/simulation/simnet/pipe.go
+++ b/internal/simulation/simnet/pipe.go
@@ -5,7 +5,7 @@
 	sentAt    float64
 	arrivesAt float64
 	data      []byte
-	end       bool
+	fin       bool
 	reset     bool
 }
 
@@ -51,7 +51,7 @@
 	if p.suspended || len(p.segments) == 0 {
 		return
 	}
-	if n.separated(from.process, to.process) {
+	if n.isPartitioned(from.process, to.process) {
 		p.suspended = true
 		return
 	}
--- a/internal/simulation/simnet/process.go
+++ b/internal/simulation/simnet/process.go
@@ -31,9 +31,9 @@
 	lowestFree       int       // no lower descriptor is free
 	openDescriptors  int
 	maxDescriptors   int
-	candidates       []*socket      // watched ones that may be ready
+	readyCandidates       []*socket      // watched ones that may be ready
 	listenAddr       netip.AddrPort // of the last listener
-	connectionsBegun uint64
+	connectCount uint64
 
 	// The schedule of its iterations.
 	clock              float64
@@ -43,7 +43,7 @@
 	stalls             []Span
 	iteration          uint64 // number of the next one
 	iterationAt        float64
-	iterationPlanned   bool
+	iterationScheduled   bool
 	eventCount         uint64
 	iterationsInSecond int
 	secondStart        float64
@@ -71,7 +71,7 @@
 // Start runs the process's loop from now on. onExit, if not nil, is called once the loop has stopped, not after Kill.
 func (p *Process) Start(onExit func()) {
 	p.onExit = onExit
-	p.planBy(p.net.now)
+	p.scheduleIterationBy(p.net.now)
 }
 
 // Stall takes the CPU from the process for so many ms.
@@ -79,8 +79,8 @@
 	until := p.net.now + ms
 	p.stalls = append(p.stalls, Span{p.net.now, until})
 	p.stalledUntil = max(p.stalledUntil, until)
-	if p.iterationPlanned {
-		p.planAt(p.iterationAt)
+	if p.iterationScheduled {
+		p.rescheduleIteration(p.iterationAt)
 	}
 }
 
@@ -110,20 +110,20 @@
 	p.exited = true
 }
 
-// planBy plans the next iteration at a time or earlier, but not before the process has its CPU.
-func (p *Process) planBy(at float64) {
-	if !p.iterationPlanned || at < p.iterationAt {
-		p.planAt(at)
+// scheduleIterationBy plans the next iteration at a time or earlier, but not before the process has its CPU.
+func (p *Process) scheduleIterationBy(at float64) {
+	if !p.iterationScheduled || at < p.iterationAt {
+		p.rescheduleIteration(at)
 	}
 }
 
-// planAt plans the next iteration at a time, in place of the one that was planned.
-func (p *Process) planAt(at float64) {
+// rescheduleIteration plans the next iteration at a time, in place of the one that was planned.
+func (p *Process) rescheduleIteration(at float64) {
 	if p.exited || p.running {
 		return
 	}
 	at = max(at, p.clock, p.stalledUntil, p.net.now)
-	p.iterationPlanned = true
+	p.iterationScheduled = true
 	p.iterationAt = at
 	p.iteration++
 	p.net.enqueue(event{at: at, process: p, iteration: p.iteration}, p.id, &p.eventCount)
@@ -132,10 +132,10 @@
 // runIteration runs one iteration of the process's loop, and plans the next one.
 func (p *Process) runIteration() {
 	if p.stalledUntil > p.net.now {
-		p.planAt(p.stalledUntil)
+		p.rescheduleIteration(p.stalledUntil)
 		return
 	}
-	p.iterationPlanned = false
+	p.iterationScheduled = false
 	p.woken = false
 	p.limitIterations()
 	p.running = true
@@ -154,22 +154,22 @@
 		p.exited = true
 		return
 	}
-	p.planNext()
+	p.scheduleNextIteration()
 }
 
-// planNext plans the next iteration: at once if a descriptor is ready or the loop was woken, else at the next timer.
-func (p *Process) planNext() {
+// scheduleNextIteration plans the next iteration: at once if a descriptor is ready or the loop was woken, else at the next timer.
+func (p *Process) scheduleNextIteration() {
 	if p.woken || p.anyReady() {
-		p.planBy(p.clock)
+		p.scheduleIterationBy(p.clock)
 		return
 	}
 	if ms := p.loop.WaitTimeout(); ms >= 0 {
-		p.planBy(p.clock + float64(ms))
+		p.scheduleIterationBy(p.clock + float64(ms))
 	}
 }
 
 func (p *Process) anyReady() bool {
-	for _, s := range p.candidates {
+	for _, s := range p.readyCandidates {
 		if s.isOpen() && s.watched && s.readyEvents() != 0 {
 			return true
 		}
--- a/internal/simulation/simnet/scheduler.go
+++ b/internal/simulation/simnet/scheduler.go
@@ -8,7 +8,7 @@
 const (
 	iterationStep stepKind = iota + 1 // an iteration of a process's loop
 	deliveryStep                      // the delivery of a segment
-	callStep                          // a scheduled call
+	callbackStep                          // a scheduled call
 )
 
 // event is something that happens at a time: an iteration of a process, the delivery of a pipe's first segment, or a
@@ -111,7 +111,7 @@
 	case e.pipe != nil:
 		e.pipe.deliver()
 	default:
-		n.recordStep(callStep, 0)
+		n.recordStep(callbackStep, 0)
 		e.callback()
 	}
 }
--- a/internal/simulation/simnet/socket.go
+++ b/internal/simulation/simnet/socket.go
@@ -13,8 +13,8 @@
 	// maxWindowBytes is how many bytes may be in transit or unread in one direction.
 	maxWindowBytes = 48 << 10
 
-	// writableBytes is below how many such bytes a socket is writable.
-	writableBytes = maxWindowBytes * 2 / 3
+	// writableThreshold is below how many such bytes a socket is writable.
+	writableThreshold = maxWindowBytes * 2 / 3
 
 	// shortWriteChance is the chance that a fragmented write is short, as with a buffer that is nearly full.
 	shortWriteChance = 0.3
@@ -29,7 +29,7 @@
 	watched    bool
 	events     uint32 // that it is watched for
 	generation int32
-	candidate  bool // it is among the process's candidates
+	isCandidate  bool // it is among the process's candidates
 
 	// A listener.
 	listening       bool
@@ -43,10 +43,10 @@
 	closeWithReset bool
 	err            unix.Errno // not reported yet, 0 for none
 	received       []byte     // and not read
-	writeMarks     []writeMark
+	writeTimes     []writeTime
 	lastReadSentAt float64
-	receivedEnd    bool
-	sentEnd        bool
+	receivedFIN    bool
+	sentFIN        bool
 	writeBlocked   bool // a write was short
 	inFlight       int  // bytes written and not read by the peer
 	outgoing       pipe
@@ -55,8 +55,8 @@
 	eventCount     uint64
 }
 
-// writeMark tells when received bytes were written.
-type writeMark struct {
+// writeTime tells when received bytes were written.
+type writeTime struct {
 	byteCount int
 	writtenAt float64
 }
@@ -94,23 +94,23 @@
 		events = loop.Readable | loop.Writable | loop.HangUp | loop.Failed
 	case s.connecting:
 	default:
-		events = s.connectionEvents()
+		events = s.connectionReadyEvents()
 	}
 	return events & (s.events | loop.Failed)
 }
 
-func (s *socket) connectionEvents() uint32 {
+func (s *socket) connectionReadyEvents() uint32 {
 	var events uint32
-	if len(s.received) > 0 || s.receivedEnd {
+	if len(s.received) > 0 || s.receivedFIN {
 		events |= loop.Readable
 	}
-	if s.receivedEnd {
+	if s.receivedFIN {
 		events |= loop.HangUp
-		if s.sentEnd {
+		if s.sentFIN {
 			events |= unix.EPOLLHUP
 		}
 	}
-	if s.sentEnd || s.inFlight <= writableBytes {
+	if s.sentFIN || s.inFlight <= writableThreshold {
 		events |= loop.Writable
 	}
 	return events
@@ -131,11 +131,11 @@
 		return
 	case s.isReset:
 		return
-	case g.end:
-		s.receivedEnd = true
+	case g.fin:
+		s.receivedFIN = true
 	default:
 		s.received = append(s.received, g.data...)
-		s.writeMarks = append(s.writeMarks, writeMark{len(g.data), g.sentAt})
+		s.writeTimes = append(s.writeTimes, writeTime{len(g.data), g.sentAt})
 	}
 	s.process.notify(s)
 }
@@ -149,7 +149,7 @@
 	switch {
 	case g.reset:
 		kind = "reset"
-	case g.end:
+	case g.fin:
 		kind = "end"
 	}
 	n.tracef("%s -> %s #%x %s%.160q", s.peer.process.name, s.process.name, s.tiebreaker&0xffff, kind, g.data)
@@ -164,7 +164,7 @@
 	switch {
 	case s.connecting:
 		s.err = unix.ECONNREFUSED
-	case s.receivedEnd:
+	case s.receivedFIN:
 		s.err = unix.EPIPE
 	default:
 		s.err = unix.ECONNRESET
@@ -179,7 +179,7 @@
 	if err := s.consumeError(); err != nil {
 		return 0, err
 	}
-	if s.receivedEnd || s.isReset {
+	if s.receivedFIN || s.isReset {
 		return 0, nil
 	}
 	return 0, unix.EAGAIN
@@ -191,29 +191,29 @@
 	if len(s.received) == 0 {
 		s.received = nil // releases the buffer
 	}
-	s.advanceMarks(n)
+	s.advanceWriteTimes(n)
 	s.peer.onPeerRead(n)
 	return n
 }
 
-// advanceMarks finds out when the last of so many bytes was written.
-func (s *socket) advanceMarks(n int) {
+// advanceWriteTimes finds out when the last of so many bytes was written.
+func (s *socket) advanceWriteTimes(n int) {
 	for n > 0 {
-		mark := &s.writeMarks[0]
+		mark := &s.writeTimes[0]
 		s.lastReadSentAt = mark.writtenAt
 		if mark.byteCount > n {
 			mark.byteCount -= n
 			return
 		}
 		n -= mark.byteCount
-		s.writeMarks = s.writeMarks[1:]
+		s.writeTimes = s.writeTimes[1:]
 	}
 }
 
 // onPeerRead opens the window by bytes that the peer has read.
 func (s *socket) onPeerRead(n int) {
 	s.inFlight -= n
-	if !s.writeBlocked || s.inFlight > writableBytes {
+	if !s.writeBlocked || s.inFlight > writableThreshold {
 		return
 	}
 	s.writeBlocked = false
@@ -229,7 +229,7 @@
 		}
 		return 0, unix.EPIPE
 	}
-	if s.sentEnd {
+	if s.sentFIN {
 		return 0, unix.EPIPE
 	}
 	if s.connecting {
@@ -268,9 +268,9 @@
 }
 
 func (s *socket) closeWrite() {
-	if !s.sentEnd && !s.isReset && !s.connecting {
-		s.sentEnd = true
-		s.outgoing.send(segment{end: true})
+	if !s.sentFIN && !s.isReset && !s.connecting {
+		s.sentFIN = true
+		s.outgoing.send(segment{fin: true})
 	}
 }
 
