--- a/internal/simulation/names/names.go
+++ b/internal/simulation/names/names.go
@@ -89,7 +89,7 @@
 	TooManyAttempts        Rule = "attempts"     // a request had more attempts than the limit
 	UnknownRequest         Rule = "unasked"      // an upstream received a request that no client sent
 	MalformedRequest       Rule = "malformed"    // an upstream received a request that is not valid HTTP
-	MalformedInputAccepted Rule = "rude"         // malformed input was served, or neither a rejection nor a close followed in time
+	MalformedInputAccepted Rule = "rude"         // malformed input was served, or neither rejected nor closed in time
 	LeakedState            Rule = "left-over"    // a balancer had unfinished work or open descriptors when idle or at exit
 	CounterMismatch        Rule = "counters"     // a balancer's counters differ from the events recorded on the wire
 	Panic                  Rule = "crash"        // the program panicked or ran too many loop iterations within a second
--- a/internal/simulation/simnet/connect.go
+++ b/internal/simulation/simnet/connect.go
@@ -3,14 +3,14 @@
 import "net/netip"
 
 const (
-	maxBacklog           = 512
-	connectRetryInterval = 1000.0 // ms, of an attempt that got no answer
+	maxBacklog           = 512    // connections that a listener holds until they are accepted
+	connectRetryInterval = 1000.0 // ms until a SYN that got no reply is sent again
 
-	// noListenerJitter is the jitter in ms of an attempt to connect to an address without a listener.
+	// noListenerJitter is the maximum jitter, in ms, of a SYN to an address without a listener.
 	noListenerJitter = 0.01
 )
 
-// sendConnect sends a connection attempt.
+// sendConnect sends the SYN of a connecting socket.
 func (n *Network) sendConnect(s *socket) {
 	at := s.process.Now() + s.rng.Float64()*noListenerJitter
 	if listener := n.listeners[s.addr]; listener != nil {
@@ -21,7 +21,7 @@
 	s.enqueue(event{at: at, callback: func() { n.receiveConnect(s) }})
 }
 
-// receiveConnect handles a connection attempt that has arrived.
+// receiveConnect handles a SYN that has arrived at its destination.
 func (n *Network) receiveConnect(s *socket) {
 	if s.closed || s.process.exited {
 		return
@@ -38,7 +38,8 @@
 	n.establish(s, listener)
 }
 
-// refuseConnect refuses a connection attempt without a listener. An unreachable machine sends no refusal.
+// refuseConnect refuses a connection to an address without a listener.
+// If the last process that listened there is unreachable, no refusal is sent and the SYN is retried.
 func (n *Network) refuseConnect(s *socket) {
 	if owner := n.lastProcessListeningAt(s.addr); owner != nil && n.isPartitioned(s.process, owner) {
 		n.retryConnect(s)
@@ -48,12 +49,14 @@
 	s.enqueue(event{at: n.now + n.hostReplyLatency(s.process), callback: s.receiveReset})
 }
 
+// retryConnect schedules the next SYN of a socket whose SYN got no reply.
 func (n *Network) retryConnect(s *socket) {
 	s.enqueue(event{at: n.now + connectRetryInterval, callback: func() { n.receiveConnect(s) }})
 }
 
-// establish connects a socket to a new one at the listener. The connecting end is connected after one passage, the other
-// one is in the backlog after two.
+// establish creates the accepted end of a connection.
+// The connecting end is established after one latency, when the SYN-ACK arrives.
+// The accepted end is added to the backlog after two, when the final ACK of the handshake arrives.
 func (n *Network) establish(s, listener *socket) {
 	accepted := newSocket(listener.process)
 	accepted.peer = s
@@ -66,7 +69,7 @@
 	accepted.outgoing.lastArrival = n.now + back
 }
 
-// handleConnected handles the answer to a connection attempt.
+// handleConnected handles the SYN-ACK of a connecting socket.
 func (s *socket) handleConnected() {
 	if !s.connecting || s.closed || s.isReset {
 		return
@@ -76,7 +79,7 @@
 	s.process.notify(s)
 }
 
-// addToBacklog adds a connection to a listener's backlog, or resets it if the listener was closed meanwhile.
+// addToBacklog adds a connection to the backlog of a listener. It resets the connection if the listener is closed.
 func (s *socket) addToBacklog(accepted *socket) {
 	if s.closed {
 		accepted.closed = true
@@ -87,7 +90,8 @@
 	s.process.notify(s)
 }
 
-// lastProcessListeningAt returns the process that last listened at an address, nil if none did.
+// lastProcessListeningAt returns the most recently spawned process whose last listener had the address.
+// It returns nil if there is none.
 func (n *Network) lastProcessListeningAt(addr netip.AddrPort) *Process {
 	for i := len(n.processes) - 1; i >= 0; i-- {
 		if n.processes[i].listenAddr == addr {
--- a/internal/simulation/simnet/faults.go
+++ b/internal/simulation/simnet/faults.go
@@ -1,17 +1,18 @@
 package simnet
 
-// HealMode tells what happens to connections across a partition when it heals.
+// HealMode determines what happens, when a partition heals, to the connections that it affected.
 type HealMode uint8
 
 // The heal modes.
 const (
-	ResumeConnections HealMode = iota // they go on where they stopped
-	ResetConnections                  // both ends are reset
+	ResumeConnections HealMode = iota // segments that were held back are delivered
+	ResetConnections                  // segments that were held back are dropped and both ends are reset
 )
 
-// zonePair is two zones in alphabetical order.
+// zonePair is a pair of zones, in alphabetical order.
 type zonePair struct{ first, second string }
 
+// newZonePair returns the pair of two zones, given in any order.
 func newZonePair(a, b string) zonePair {
 	if a > b {
 		a, b = b, a
@@ -19,16 +20,18 @@
 	return zonePair{a, b}
 }
 
-// Partition stops all segments between two zones, silently. Heal undoes it.
-func (n *Network) Partition(zoneA, zoneB string) { n.partitionedZones[newZonePair(zoneA, zoneB)] = true }
+// Partition stops the delivery of all segments between two zones. No process is notified. Heal undoes it.
+func (n *Network) Partition(zoneA, zoneB string) {
+	n.partitionedZones[newZonePair(zoneA, zoneB)] = true
+}
 
-// Heal ends a partition.
+// Heal ends the partition of two zones.
 func (n *Network) Heal(zoneA, zoneB string, mode HealMode) {
 	delete(n.partitionedZones, newZonePair(zoneA, zoneB))
 	n.resumeConnections(mode)
 }
 
-// Isolate stops all segments from and to a machine, silently. Reconnect undoes it.
+// Isolate stops the delivery of all segments from and to a machine. No process is notified. Reconnect undoes it.
 func (n *Network) Isolate(machine string) {
 	for _, p := range n.processesOf(machine) {
 		p.isolated = true
@@ -43,6 +46,7 @@
 	n.resumeConnections(mode)
 }
 
+// processesOf returns the processes of a machine, including those that have exited.
 func (n *Network) processesOf(machine string) []*Process {
 	var list []*Process
 	for _, p := range n.processes {
@@ -53,21 +57,22 @@
 	return list
 }
 
-// SetLatencyFactor multiplies the latency between two zones. A factor of 1 undoes it.
+// SetLatencyFactor sets the factor by which the latency between machines of two zones is multiplied.
+// A factor of 1 restores the latency of the path.
 func (n *Network) SetLatencyFactor(zoneA, zoneB string, factor float64) {
 	n.latencyFactors[newZonePair(zoneA, zoneB)] = factor
 }
 
-// SetFragmentation sets the chance that a write is fragmented into small segments.
+// SetFragmentation sets the probability that a write is fragmented into segments of random sizes.
 func (n *Network) SetFragmentation(chance float64) { n.fragmentChance = chance }
 
-// StepClock steps the clock of all machines, forward or back. Timers are not affected.
+// StepClock sets the wall clock of all machines forward by ms, or back if ms is negative. Timers are not affected.
 func (n *Network) StepClock(ms float64) { n.clockOffset += ms }
 
-// ClockOffset returns by how many ms the clock of all machines was stepped in total.
+// ClockOffset returns the sum of all steps of the wall clock, in ms.
 func (n *Network) ClockOffset() float64 { return n.clockOffset }
 
-// isPartitioned reports whether no segment passes between two processes.
+// isPartitioned reports whether a partition of zones or the isolation of a machine stops segments between two processes.
 func (n *Network) isPartitioned(p, q *Process) bool {
 	if p.machine == q.machine {
 		return false
@@ -75,7 +80,7 @@
 	return p.isolated || q.isolated || len(n.partitionedZones) > 0 && n.partitionedZones[newZonePair(p.zone, q.zone)]
 }
 
-// resumeConnections resumes or resets the connections that were suspended and are not separated any more.
+// resumeConnections resumes or resets the suspended connections whose ends can reach each other again.
 func (n *Network) resumeConnections(mode HealMode) {
 	n.removeClosed()
 	for _, s := range n.initiators {
@@ -88,7 +93,7 @@
 	}
 }
 
-// removeClosed removes connections of which both ends are closed and nothing is in transit.
+// removeClosed removes the initiators whose connection is closed at both ends and which have no segment in transit.
 func (n *Network) removeClosed() {
 	open := n.initiators[:0]
 	for _, s := range n.initiators {
--- a/internal/simulation/simnet/kernel.go
+++ b/internal/simulation/simnet/kernel.go
@@ -1,6 +1,7 @@
 package simnet
 
 import (
+	"fmt"
 	"net/netip"
 
 	"golang.org/x/sys/unix"
@@ -9,15 +10,16 @@
 	"salttrack/internal/simulation/randstream"
 )
 
-// systemCallDuration is the time that a system call takes, in ms.
+// systemCallDuration is the time that a system call takes on the process's clock, in ms.
 const systemCallDuration = 0.002
 
 const (
-	firstDescriptor = 3
-	noDescriptor    = -1
+	firstDescriptor = 3  // 0 to 2 are standard input, output and error
+	noDescriptor    = -1 // returned with an error, and set in sockets without a descriptor
 )
 
-// Now returns the process's clock: that of the network, or ahead of it while the process works.
+// Now returns the time of the process's clock, in ms.
+// It equals the clock of the network, or is ahead of it by the time that the process's system calls have taken.
 func (p *Process) Now() float64 {
 	if p.running {
 		return p.clock
@@ -25,14 +27,16 @@
 	return max(p.clock, p.net.now)
 }
 
-// Wall returns the clock of the machine, which may have been stepped.
+// Wall returns the time of the machine's wall clock, in ms: the time of Now plus the steps of Network.StepClock.
 func (p *Process) Wall() float64 { return p.Now() + p.net.clockOffset }
 
 // advanceClock advances the process's clock by the duration of a system call.
 func (p *Process) advanceClock() { p.clock = max(p.clock, p.net.now) + systemCallDuration }
 
-// Wait returns ready descriptors in random order, as a kernel promises none. It does not block: the next iteration is
-// planned when something is ready.
+// Wait stores the events of ready descriptors and returns their number.
+// The order is random, because Linux does not guarantee any order.
+// Wait does not block: the next iteration of the loop is scheduled for the time when a descriptor is ready or a timer is
+// due.
 func (p *Process) Wait(into []loop.Event, _ int) (int, error) {
 	p.advanceClock()
 	list := p.readyCandidates
@@ -61,13 +65,13 @@
 	return count, nil
 }
 
-// Wake plans an iteration at once.
+// Wake schedules an iteration of the loop at the present time.
 func (p *Process) Wake() {
 	p.woken = true
 	p.scheduleIterationBy(p.net.now)
 }
 
-// notify plans an iteration if a socket has become ready.
+// notify schedules an iteration of the loop if a socket is watched and has become ready.
 func (p *Process) notify(s *socket) {
 	if !s.isOpen() || !s.watched || p.exited {
 		return
@@ -81,7 +85,8 @@
 	}
 }
 
-// allocateDescriptor gives a socket the lowest free descriptor.
+// allocateDescriptor assigns the lowest free descriptor to a socket.
+// It returns unix.EMFILE if the process has reached its limit on open descriptors.
 func (p *Process) allocateDescriptor(s *socket) (int, error) {
 	if p.openDescriptors >= p.maxDescriptors {
 		return noDescriptor, unix.EMFILE
@@ -100,15 +105,16 @@
 	return fd, nil
 }
 
-// socketOf returns the socket of a descriptor. The use of a closed one is a defect of the program under test.
+// socketOf returns the socket of a descriptor.
+// It panics if the descriptor is not open, because its use is a bug in the program under test.
 func (p *Process) socketOf(fd int) *socket {
 	if fd < 0 || fd >= len(p.sockets) || p.sockets[fd] == nil {
-		panic(p.name + ": use of a descriptor that is not open")
+		panic(fmt.Sprintf("%s: system call on descriptor %d, which is not open", p.name, fd))
 	}
 	return p.sockets[fd]
 }
 
-// Add watches a descriptor.
+// Add begins to watch a descriptor for events. It returns unix.EEXIST if the descriptor is watched already.
 func (p *Process) Add(fd int, events uint32, generation int32) error {
 	s := p.socketOf(fd)
 	if s.watched {
@@ -121,7 +127,7 @@
 	return nil
 }
 
-// Modify changes the events that a descriptor is watched for.
+// Modify replaces the events and the generation of a watched descriptor.
 func (p *Process) Modify(fd int, events uint32, generation int32) error {
 	p.advanceClock()
 	s := p.socketOf(fd)
@@ -131,10 +137,11 @@
 	return nil
 }
 
-// Remove ends the watch of a descriptor, which stays open.
+// Remove stops watching a descriptor, which stays open.
 func (p *Process) Remove(fd int) { p.socketOf(fd).watched = false }
 
-// Listen opens a listener.
+// Listen returns a listening socket.
+// It returns unix.EADDRINUSE if the address has a listener, and unix.EMFILE at the limit on open descriptors.
 func (p *Process) Listen(addr netip.AddrPort) (int, error) {
 	if p.net.listeners[addr] != nil {
 		return noDescriptor, unix.EADDRINUSE
@@ -148,13 +155,14 @@
 	return fd, err
 }
 
-// StopQueueing stops new connections at a listener. They get no answer; those in the backlog can still be accepted.
+// StopQueueing makes a listener ignore new connections. Their SYNs get no reply.
+// Connections in the backlog can still be accepted.
 func (p *Process) StopQueueing(fd int) {
 	p.advanceClock()
 	p.socketOf(fd).queueingStopped = true
 }
 
-// Connect begins a connection.
+// Connect begins a connection. It returns unix.EMFILE at the limit on open descriptors.
 func (p *Process) Connect(addr netip.AddrPort) (int, error) {
 	p.advanceClock()
 	s := newSocket(p)
@@ -173,7 +181,8 @@
 	return fd, nil
 }
 
-// Accept accepts a connection of the backlog.
+// Accept accepts the first connection of a listener's backlog.
+// It returns unix.EAGAIN if the backlog is empty, and unix.EMFILE at the limit on open descriptors.
 func (p *Process) Accept(fd int) (int, error) {
 	p.advanceClock()
 	listener := p.socketOf(fd)
@@ -188,37 +197,39 @@
 	return accepted, nil
 }
 
-// SocketError returns and clears the error of a socket.
+// SocketError returns and clears the pending error of a socket. It returns nil if there is none.
 func (p *Process) SocketError(fd int) error { return p.socketOf(fd).consumeError() }
 
-// Read reads received bytes.
+// Read reads received bytes. It returns unix.EAGAIN if there are none, and 0 bytes without an error at the end of the
+// stream.
 func (p *Process) Read(fd int, buffer []byte) (int, error) {
 	p.advanceClock()
 	return p.socketOf(fd).read(buffer)
 }
 
-// Write writes what the window allows.
+// Write writes as many bytes as the window allows, and returns their number.
 func (p *Process) Write(fd int, data []byte) (int, error) {
 	p.advanceClock()
 	return p.socketOf(fd).write(data)
 }
 
-// IdleOpen reports whether a connection is open and nothing was received on it.
+// IdleOpen reports whether a connection is established, open in both directions as far as this end knows, and has no
+// unread bytes.
 func (p *Process) IdleOpen(fd int) bool {
 	s := p.socketOf(fd)
 	return !s.connecting && !s.receivedFIN && !s.isReset && len(s.received) == 0
 }
 
-// PeerClosed reports whether the peer has closed its sending side, or the connection is broken.
+// PeerClosed reports whether the peer has closed its writing side, or the connection was reset.
 func (p *Process) PeerClosed(fd int) bool {
 	s := p.socketOf(fd)
 	return s.receivedFIN || s.isReset
 }
 
-// CloseWrite closes the sending side of a connection.
+// CloseWrite closes the writing side of a connection.
 func (p *Process) CloseWrite(fd int) { p.socketOf(fd).closeWrite() }
 
-// Close closes a descriptor.
+// Close closes a descriptor and stops watching it.
 func (p *Process) Close(fd int) {
 	s := p.socketOf(fd)
 	p.sockets[fd] = nil
@@ -229,8 +240,8 @@
 	s.watched = false
 }
 
-// LastReadSentAt returns when the peer wrote the byte that was read last from a descriptor.
+// LastReadSentAt returns the time, in ms, at which the peer wrote the byte that was last read from a descriptor.
 func (p *Process) LastReadSentAt(fd int) float64 { return p.socketOf(fd).lastReadSentAt }
 
-// PeerName returns the process at the other end of a connection.
+// PeerName returns the name of the process at the other end of a connection.
 func (p *Process) PeerName(fd int) string { return p.socketOf(fd).peer.process.name }
--- a/internal/simulation/simnet/kernel_model_test.go
+++ b/internal/simulation/simnet/kernel_model_test.go
@@ -12,23 +12,22 @@
 	"salttrack/internal/loop"
 )
 
-// maxPolls is how often a test waits for an event, each time for pollInterval ms.
 const (
-	maxPolls     = 200
-	pollInterval = 50
+	maxPolls     = 200 // number of waits for an event after which a test fails
+	pollInterval = 50  // ms, timeout of each wait
 )
 
-// callRecorder makes calls on a kernel and logs their results.
+// callRecorder calls the methods of a kernel and records their results as text.
 type callRecorder struct {
 	t          *testing.T
 	kernel     loop.Kernel
-	advance    func(ms float64) // advances the virtual clock, nil on the real kernel
+	advance    func(ms float64) // advances the virtual clock; nil for the real kernel
 	addr       netip.AddrPort
 	results    strings.Builder
 	generation int32
 }
 
-// await waits until a descriptor is ready for all given events.
+// await waits until a descriptor is ready for all of the given events.
 func (k *callRecorder) await(fd int, events uint32) {
 	k.t.Helper()
 	var ready [16]loop.Event
@@ -46,10 +45,11 @@
 			}
 		}
 	}
-	k.t.Fatalf("descriptor %d was never ready for %x\n%s", fd, events, k.results.String())
+	k.t.Fatalf("descriptor %d was not ready for events %#x after %d waits; results so far:\n%s", fd, events, maxPolls,
+		k.results.String())
 }
 
-// add watches a descriptor for all events.
+// add watches a descriptor for Readable, Writable and HangUp.
 func (k *callRecorder) add(fd int) {
 	k.t.Helper()
 	k.generation++
@@ -58,9 +58,12 @@
 	}
 }
 
-func (k *callRecorder) logf(format string, args ...any) { fmt.Fprintf(&k.results, format+"\n", args...) }
+// logf records a result.
+func (k *callRecorder) logf(format string, args ...any) {
+	fmt.Fprintf(&k.results, format+"\n", args...)
+}
 
-// connectPair returns a connecting and an accepted descriptor, and the listener.
+// connectPair establishes a connection. It returns the descriptors of both ends and of the listener.
 func (k *callRecorder) connectPair() (connected, accepted, listener int) {
 	k.t.Helper()
 	listener, err := k.kernel.Listen(k.addr)
@@ -84,26 +87,28 @@
 	return connected, accepted, listener
 }
 
+// read reads up to 8 bytes and records the result.
 func (k *callRecorder) read(fd int) {
 	var buffer [8]byte
 	n, err := k.kernel.Read(fd, buffer[:])
 	k.logf("read %q %v", buffer[:n], err)
 }
 
+// write writes data and records the result.
 func (k *callRecorder) write(fd int, data string) {
 	n, err := k.kernel.Write(fd, []byte(data))
 	k.logf("write %d %v", n, err)
 }
 
-// callSequences are sequences of calls that have the same results on both kernels.
+// callSequences are sequences of calls that must have the same results on the real and the simulated kernel.
 var callSequences = map[string]func(k *callRecorder){
-	"data and end of stream":          dataAndEnd,
-	"connection refused":              connectionRefused,
-	"close with unread input resets":  closeWithUnreadInput,
-	"write to a closed peer":          writeToClosedPeer,
-	"descriptors are reused":          reuseDescriptors,
-	"closed listener refuses":         closeListener,
-	"window fills up and opens again": fillWindow,
+	"data and end of stream":           dataAndEnd,
+	"connection refused":               connectionRefused,
+	"close with unread input resets":   closeWithUnreadInput,
+	"write to a closed peer":           writeToClosedPeer,
+	"descriptors are reused":           reuseDescriptors,
+	"closed listener refuses connects": closeListener,
+	"full window reopens after reads":  fillWindow,
 }
 
 func dataAndEnd(k *callRecorder) {
@@ -205,7 +210,7 @@
 	k.read(accepted)
 }
 
-// writeUntilBlocked writes until the kernel accepts no more, and returns how many bytes it has accepted.
+// writeUntilBlocked writes until the kernel accepts no more bytes. It returns the number of accepted bytes.
 func (k *callRecorder) writeUntilBlocked(fd int) int {
 	k.t.Helper()
 	chunk := []byte(strings.Repeat("x", 4096))
@@ -216,7 +221,7 @@
 			k.t.Fatal(err)
 		}
 		sent += n
-		mayDrain := k.advance == nil && sent < 1<<20 // the real kernel moves bytes to the peer meanwhile
+		mayDrain := k.advance == nil && sent < 1<<20 // the real kernel moves bytes to the peer in the background
 		if n == 0 && !mayDrain {
 			break
 		}
@@ -224,7 +229,7 @@
 	return sent
 }
 
-// runOnRealKernel returns the results of a call sequence on the kernel of this machine.
+// runOnRealKernel returns the results of a call sequence on the kernel of the operating system.
 func runOnRealKernel(t *testing.T, sequence func(k *callRecorder)) string {
 	t.Helper()
 	kernel, err := epoll.New()
@@ -248,7 +253,8 @@
 	t.Helper()
 	net := New(1, 0, func(string, string) Path { return Path{Latency: 1, Jitter: 0.5} })
 	process := net.Spawn("p", "m", "z", 100)
-	// The process has no loop that runs: no iteration may be planned earlier than this one.
+	// The test makes the calls instead of the process's loop.
+	// An iteration at -1 ms counts as scheduled, so none is scheduled for the loop: it would have to be earlier.
 	process.iterationScheduled = true
 	process.iterationAt = -1
 	calls := &callRecorder{
@@ -261,14 +267,14 @@
 	return calls.results.String()
 }
 
-// The simulated kernel and the real one return the same results.
+// TestSameResultsAsRealKernel checks that the simulated kernel and the real one return the same results.
 func TestSameResultsAsRealKernel(t *testing.T) {
 	for name, sequence := range callSequences {
 		t.Run(name, func(t *testing.T) {
-			machine := runOnRealKernel(t, sequence)
-			model := runOnSimulatedKernel(t, sequence)
-			if machine != model {
-				t.Errorf("the real kernel:\n%s\nthe simulated one:\n%s", machine, model)
+			fromReal := runOnRealKernel(t, sequence)
+			fromSimulated := runOnSimulatedKernel(t, sequence)
+			if fromReal != fromSimulated {
+				t.Errorf("results of the real kernel:\n%s\nresults of the simulated kernel:\n%s", fromReal, fromSimulated)
 			}
 		})
 	}
--- a/internal/simulation/simnet/network_test.go
+++ b/internal/simulation/simnet/network_test.go
@@ -12,17 +12,20 @@
 
 var testAddr = netip.MustParseAddrPort("127.0.0.1:1")
 
-// newTestNetwork returns a network with process a in the zone east and process b in the zone west.
+// newTestNetwork returns a network with two processes: a in the zone east, b in the zone west.
+// Each may have 16 open descriptors.
 func newTestNetwork(seed uint64) (net *Network, a, b *Process) {
 	net = New(seed, 0, func(string, string) Path { return Path{Latency: 2, Jitter: 0.5} })
 	return net, net.Spawn("a", "ma", "east", 16), net.Spawn("b", "mb", "west", 16)
 }
 
+// handler is a loop.Handler that calls a function.
 type handler func(events uint32)
 
 func (h handler) Ready(events uint32) { h(events) }
 
-// serve accepts connections at testAddr and watches them for events with what onAccept returns.
+// serve makes a process accept connections at testAddr.
+// It watches each connection for events, with the handler that onAccept returns for it.
 func serve(p *Process, events uint32, onAccept func(fd int) handler) {
 	listener, _ := p.Listen(testAddr)
 	p.Loop().Add(listener, loop.Readable, handler(func(uint32) {
@@ -32,7 +35,8 @@
 	}))
 }
 
-// A stream arrives complete and in order, however it is fragmented; a partition that resumes delays it only.
+// TestStreamIntegrity checks that a stream arrives complete and in order, whatever the fragmentation.
+// A partition that heals with ResumeConnections only delays it.
 func TestStreamIntegrity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		net, a, b := newTestNetwork(rapid.Uint64().Draw(t, "seed"))
@@ -67,20 +71,20 @@
 		}
 		net.Run(60000)
 		if got.String() != want {
-			t.Fatalf("%d bytes of %d arrived", got.Len(), len(want))
+			t.Fatalf("received %d bytes that differ from the %d bytes sent", got.Len(), len(want))
 		}
 	})
 }
 
-// connectionCounts counts what happens to the connections of a test.
+// connectionCounts counts events of the connections of a test.
 type connectionCounts struct {
-	accepted  int
-	connected int
-	reset     int // at the connecting end
-	closed    int // at the accepted end
+	accepted  int // connections that b accepted
+	connected int // connections that were established at the connecting end
+	reset     int // connections that were reset at the connecting end
+	closed    int // connections that were closed at the accepted end
 }
 
-// connect opens a connection from a process and counts what happens to it.
+// connect opens a connection from a process and counts its events.
 func (e *connectionCounts) connect(p *Process) {
 	fd, _ := p.Connect(testAddr)
 	connected := false
@@ -99,7 +103,8 @@
 	}))
 }
 
-// A partition is silent until it heals. Then open connections are reset at both ends, and new ones are established.
+// TestPartition checks that processes notice nothing of a partition until it heals with ResetConnections.
+// Then open connections are reset at both ends, and pending connects succeed.
 func TestPartition(t *testing.T) {
 	net, a, b := newTestNetwork(1)
 	events := &connectionCounts{}
--- a/internal/simulation/simnet/pipe.go
+++ b/internal/simulation/simnet/pipe.go
@@ -1,24 +1,24 @@
 package simnet
 
-// segment is what is sent at once: data, or the end of the stream, or a reset.
+// segment is a TCP segment. It carries data, a FIN or a reset.
 type segment struct {
-	sentAt    float64
-	arrivesAt float64
+	sentAt    float64 // ms
+	arrivesAt float64 // ms
 	data      []byte
 	fin       bool
 	reset     bool
 }
 
-// pipe is what is in transit in one direction of a connection, in order.
+// pipe holds the segments in transit in one direction of a connection, in the order in which they were sent.
 type pipe struct {
 	sender      *socket
 	segments    []segment
-	lastArrival float64 // of the segment sent last
-	suspended   bool    // by a partition
+	lastArrival float64 // ms, arrival time of the last segment; later segments don't arrive earlier
+	suspended   bool    // no segment is delivered, because a partition stopped one
 	scheduled   bool    // the delivery of the first segment is in the event queue
 }
 
-// send adds a segment. A connection without a peer sends nothing.
+// send sends a segment. It does nothing if no listener has received the SYN of the connection yet.
 func (p *pipe) send(s segment) {
 	from := p.sender
 	if from.peer == nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// schedule schedules the delivery of the first segment.
+// schedule schedules the delivery of the first segment, unless it is scheduled already.
 func (p *pipe) schedule() {
 	if len(p.segments) == 0 || p.scheduled {
 		return
@@ -42,7 +42,7 @@
 	p.sender.enqueue(event{at: p.segments[0].arrivesAt, pipe: p})
 }
 
-// deliver delivers the segments that have arrived, or suspends the pipe if its ends are separated.
+// deliver delivers the segments that have arrived. It suspends the pipe if a partition separates the ends.
 func (p *pipe) deliver() {
 	p.scheduled = false
 	from := p.sender
@@ -57,7 +57,7 @@
 	}
 	for len(p.segments) > 0 && p.segments[0].arrivesAt <= n.now {
 		s := p.segments[0]
-		p.segments[0] = segment{} // releases its data
+		p.segments[0] = segment{} // releases the memory of the data
 		p.segments = p.segments[1:]
 		n.recordStep(deliveryStep, from.tiebreaker^uint64(len(s.data))<<32)
 		to.receive(s)
@@ -65,7 +65,7 @@
 	p.schedule()
 }
 
-// resume ends a suspension.
+// resume ends a suspension. In the mode ResetConnections it drops the segments and resets the receiving end.
 func (p *pipe) resume(mode HealMode) {
 	p.suspended = false
 	if mode == ResetConnections {
--- a/internal/simulation/simnet/process.go
+++ b/internal/simulation/simnet/process.go
@@ -8,55 +8,56 @@
 	"salttrack/internal/simulation/randstream"
 )
 
-// maxIterationsPerSecond is the limit of a process's iterations. A handler that ignores an event causes iterations
-// without end.
+// maxIterationsPerSecond is the maximum number of loop iterations of a process within a second of virtual time.
+// A handler that ignores a ready event makes the loop iterate without end.
 const maxIterationsPerSecond = 50000
 
-// Process is one process: a table of descriptors, a clock that runs ahead of the network's while it works, and a loop.
-// It owns its sockets, which Kill closes.
+// Process is a simulated process with an event loop, a descriptor table and a clock.
+// The clock is ahead of the network's while the process executes system calls.
+// The process owns its sockets. Kill closes them.
 type Process struct {
 	net      *Network
 	name     string
 	machine  string
 	zone     string
-	id       uint64
+	id       uint64 // hash of the seed and the name; orders events of the same time
 	rng      randstream.Stream
 	loop     *loop.Loop
-	onExit   func() // called once the loop has stopped
-	isolated bool   // its machine is off the network
-	exited   bool
-
-	// The table of descriptors.
-	sockets          []*socket // by descriptor
-	lowestFree       int       // no lower descriptor is free
-	openDescriptors  int
-	maxDescriptors   int
-	readyCandidates       []*socket      // watched ones that may be ready
-	listenAddr       netip.AddrPort // of the last listener
-	connectCount uint64
-
-	// The schedule of its iterations.
-	clock              float64
-	running            bool // within an iteration
-	woken              bool
-	stalledUntil       float64
-	stalls             []Span
-	iteration          uint64 // number of the next one
-	iterationAt        float64
-	iterationScheduled   bool
-	eventCount         uint64
-	iterationsInSecond int
-	secondStart        float64
+	onExit   func() // called after the loop has stopped; may be nil
+	isolated bool   // the process's machine is isolated, see Network.Isolate
+	exited   bool   // the process was killed or its loop has stopped
+
+	// The descriptor table.
+	sockets         []*socket // indexed by descriptor; nil if the descriptor is free
+	lowestFree      int       // no descriptor below it is free
+	openDescriptors int
+	maxDescriptors  int
+	readyCandidates []*socket      // watched sockets that may be ready
+	listenAddr      netip.AddrPort // address of the last listener
+	connectCount    uint64         // number of calls of Connect so far
+
+	// The clock and the schedule of the loop's iterations.
+	clock              float64 // ms, at the end of the last system call
+	running            bool    // an iteration is running
+	woken              bool    // Wake was called since the latest iteration began
+	stalledUntil       float64 // ms, end of the latest stall
+	stalls             []Span  // all stalls so far
+	iteration          uint64  // number of the iteration that was scheduled last
+	iterationAt        float64 // ms, time of the scheduled iteration
+	iterationScheduled bool
+	eventCount         uint64  // events that the process has enqueued
+	iterationsInSecond int     // iterations since secondStart
+	secondStart        float64 // ms, start of the second in which iterations are counted
 }
 
-// Span is a span of time, in ms.
+// Span is a time span. Its bounds are in ms.
 type Span struct{ From, To float64 }
 
-// Loop returns the process's loop.
+// Loop returns the process's event loop.
 func (p *Process) Loop() *loop.Loop { return p.loop }
 
-// SetKernel makes the process's loop use another kernel, which passes calls on to the process. It is called before any
-// use of the loop.
+// SetKernel replaces the process's loop by one that runs on another kernel, for example one that injects faults.
+// The other kernel must forward its calls to the process. SetKernel must be called before the loop is used.
 func (p *Process) SetKernel(k loop.Kernel) { p.loop = loop.New(k) }
 
 // Name returns the process's name.
@@ -65,16 +66,17 @@
 // Exited reports whether the process was killed or its loop has stopped.
 func (p *Process) Exited() bool { return p.exited }
 
-// OpenDescriptors returns how many descriptors are open.
+// OpenDescriptors returns the number of open descriptors.
 func (p *Process) OpenDescriptors() int { return p.openDescriptors }
 
-// Start runs the process's loop from now on. onExit, if not nil, is called once the loop has stopped, not after Kill.
+// Start starts the process's loop at the present time.
+// If onExit is not nil, it is called once the loop has stopped. It is not called after Kill.
 func (p *Process) Start(onExit func()) {
 	p.onExit = onExit
 	p.scheduleIterationBy(p.net.now)
 }
 
-// Stall takes the CPU from the process for so many ms.
+// Stall stops the execution of the process for ms milliseconds, as if it got no CPU.
 func (p *Process) Stall(ms float64) {
 	until := p.net.now + ms
 	p.stalls = append(p.stalls, Span{p.net.now, until})
@@ -84,7 +86,8 @@
 	}
 }
 
-// LastResume returns when the process last got its CPU back that it had not at some time of a span, 0 if it always had.
+// LastResume returns the latest end, in ms, of the stalls that overlap the time span between from and to.
+// It returns 0 if there are none.
 func (p *Process) LastResume(from, to float64) float64 {
 	resumed := 0.0
 	for _, stall := range p.stalls {
@@ -95,7 +98,8 @@
 	return resumed
 }
 
-// Kill ends the process at once. Its connections are reset, unless its machine is isolated.
+// Kill ends the process immediately and resets its connections.
+// The resets don't reach processes that a partition or the isolation of the machine separates from this one.
 func (p *Process) Kill() {
 	if p.exited {
 		return
@@ -110,14 +114,16 @@
 	p.exited = true
 }
 
-// scheduleIterationBy plans the next iteration at a time or earlier, but not before the process has its CPU.
+// scheduleIterationBy schedules the next iteration at a time in ms, unless an earlier one is scheduled.
+// A stall delays the iteration until its end.
 func (p *Process) scheduleIterationBy(at float64) {
 	if !p.iterationScheduled || at < p.iterationAt {
 		p.rescheduleIteration(at)
 	}
 }
 
-// rescheduleIteration plans the next iteration at a time, in place of the one that was planned.
+// rescheduleIteration schedules the next iteration at a time in ms and cancels the one that was scheduled.
+// A stall delays the iteration until its end.
 func (p *Process) rescheduleIteration(at float64) {
 	if p.exited || p.running {
 		return
@@ -129,7 +135,7 @@
 	p.net.enqueue(event{at: at, process: p, iteration: p.iteration}, p.id, &p.eventCount)
 }
 
-// runIteration runs one iteration of the process's loop, and plans the next one.
+// runIteration runs one iteration of the process's loop, and schedules the next one.
 func (p *Process) runIteration() {
 	if p.stalledUntil > p.net.now {
 		p.rescheduleIteration(p.stalledUntil)
@@ -142,7 +148,7 @@
 	err := p.loop.Turn()
 	p.running = false
 	if err != nil {
-		panic(err) // no call of this kernel returns an error that ends a loop
+		panic(err) // a loop only fails if Wait does, which returns no error here
 	}
 	if p.exited {
 		return
@@ -157,7 +163,8 @@
 	p.scheduleNextIteration()
 }
 
-// scheduleNextIteration plans the next iteration: at once if a descriptor is ready or the loop was woken, else at the next timer.
+// scheduleNextIteration schedules the next iteration.
+// It follows immediately if a descriptor is ready or Wake was called, otherwise when the loop's next timer is due.
 func (p *Process) scheduleNextIteration() {
 	if p.woken || p.anyReady() {
 		p.scheduleIterationBy(p.clock)
@@ -168,6 +175,7 @@
 	}
 }
 
+// anyReady reports whether any watched descriptor is ready.
 func (p *Process) anyReady() bool {
 	for _, s := range p.readyCandidates {
 		if s.isOpen() && s.watched && s.readyEvents() != 0 {
@@ -177,7 +185,7 @@
 	return false
 }
 
-// limitIterations panics if the process has too many iterations within a second.
+// limitIterations counts an iteration. It panics if there are more than maxIterationsPerSecond within a second.
 func (p *Process) limitIterations() {
 	p.iterationsInSecond++
 	if p.net.now-p.secondStart >= 1000 {
@@ -186,6 +194,7 @@
 		return
 	}
 	if p.iterationsInSecond > maxIterationsPerSecond {
-		panic(fmt.Sprintf("%s had %d iterations within a second: a ready event is not handled", p.name, p.iterationsInSecond))
+		panic(fmt.Sprintf("process %s ran %d loop iterations within a second: a handler ignores a ready event",
+			p.name, p.iterationsInSecond))
 	}
 }
--- a/internal/simulation/simnet/process_test.go
+++ b/internal/simulation/simnet/process_test.go
@@ -9,7 +9,8 @@
 	"salttrack/internal/loop"
 )
 
-// A process without CPU does nothing until it has it back. One that is killed resets its connections.
+// TestStallAndKill checks that a stalled process does nothing until the stall ends, and that a killed process resets its
+// connections.
 func TestStallAndKill(t *testing.T) {
 	net, a, b := newTestNetwork(1)
 	serve(b, 0, func(int) handler { return func(uint32) {} })
@@ -35,20 +36,21 @@
 	a.Stall(300)
 	net.Run(390)
 	if ticks != before || a.LastResume(90, 120) != 400 || a.LastResume(0, 50) != 0 {
-		t.Errorf("%d ticks without CPU; last resume %v", ticks-before, a.LastResume(90, 120))
+		t.Errorf("%d ticks during a stall; last resume at %v", ticks-before, a.LastResume(90, 120))
 	}
 	net.Run(500)
 	if ticks <= before || a.Loop().EarliestArrival() == 0 {
-		t.Error("the process does not continue with its CPU back")
+		t.Error("the process does not continue after a stall")
 	}
 	b.Kill()
 	net.Run(600)
 	if resets != 1 || a.OpenDescriptors() != 0 || b.OpenDescriptors() != 0 || !b.Exited() {
-		t.Errorf("%d resets, %d and %d open descriptors", resets, a.OpenDescriptors(), b.OpenDescriptors())
+		t.Errorf("%d resets, want 1; %d and %d open descriptors, want 0; b has exited: %v", resets, a.OpenDescriptors(),
+			b.OpenDescriptors(), b.Exited())
 	}
 }
 
-// A descriptor beyond the limit is an error.
+// TestDescriptorLimit checks that a call that needs one descriptor more than the limit fails.
 func TestDescriptorLimit(t *testing.T) {
 	_, a, _ := newTestNetwork(1)
 	for i := range 20 {
@@ -59,15 +61,15 @@
 	}
 }
 
-// A handler that ignores its event causes a panic.
+// TestIterationLimit checks that a handler that never handles a ready event causes a panic.
 func TestIterationLimit(t *testing.T) {
 	net, a, b := newTestNetwork(1)
 	listener, _ := b.Listen(testAddr)
-	b.Loop().Add(listener, loop.Readable, handler(func(uint32) {})) // never accepts
+	b.Loop().Add(listener, loop.Readable, handler(func(uint32) {})) // never calls Accept, so the listener stays readable
 	a.Loop().Post(func() { a.Connect(testAddr) })
 	defer func() {
 		if cause := recover(); cause == nil || !strings.Contains(fmt.Sprint(cause), "iterations within a second") {
-			t.Errorf("panic %v", cause)
+			t.Errorf("recovered %v, want a panic about too many iterations", cause)
 		}
 	}()
 	net.Run(5000)
--- a/internal/simulation/simnet/scheduler.go
+++ b/internal/simulation/simnet/scheduler.go
@@ -2,33 +2,37 @@
 
 import "salttrack/internal/simulation/randstream"
 
-// stepKind is the kind of a step, as it enters the hash.
+// stepKind is the kind of a step of the simulation. Its value is mixed into the hash of the run.
 type stepKind uint64
 
 const (
-	iterationStep stepKind = iota + 1 // an iteration of a process's loop
-	deliveryStep                      // the delivery of a segment
-	callbackStep                          // a scheduled call
+	iterationStep stepKind = iota + 1 // an iteration of a process's event loop
+	deliveryStep                      // the delivery of a segment to the receiver
+	callbackStep                      // the call of a scheduled function
 )
 
-// event is something that happens at a time: an iteration of a process, the delivery of a pipe's first segment, or a
-// call. One of process, pipe and callback is set.
+// event is an entry of the event queue: an iteration of a process, the delivery of the first segment of a pipe, or the
+// call of a function.
+// Exactly one of process, pipe and callback is set.
 type event struct {
-	at         float64
-	tiebreaker uint64 // orders events of the same time
+	at         float64 // ms
+	tiebreaker uint64  // orders events that have the same time
 	process    *Process
-	iteration  uint64 // of the process; an event for an iteration that was rescheduled is ignored
+	iteration  uint64 // number of the process's iteration; the event is ignored if that was rescheduled
 	pipe       *pipe
 	callback   func()
 }
 
+// before reports whether e is to be handled before other.
 func (e *event) before(other *event) bool {
 	return e.at < other.at || e.at == other.at && e.tiebreaker < other.tiebreaker
 }
 
-// eventQueue is a heap of events by time. It is not a container/heap, which would allocate for each event.
+// eventQueue is a binary heap of events by time.
+// It does not use container/heap, which would allocate memory for each event.
 type eventQueue []event
 
+// push adds an event.
 func (q *eventQueue) push(e event) {
 	heap := append(*q, e)
 	i := len(heap) - 1
@@ -43,12 +47,13 @@
 	*q = heap
 }
 
+// pop removes and returns the earliest event. The queue must not be empty.
 func (q *eventQueue) pop() event {
 	heap := *q
 	first := heap[0]
 	last := len(heap) - 1
 	heap[0] = heap[last]
-	heap[last] = event{} // releases what it refers to
+	heap[last] = event{} // releases the memory that the event refers to
 	heap = heap[:last]
 	for i := 0; ; {
 		least := i
@@ -67,17 +72,20 @@
 	return first
 }
 
-// Now returns the time of the present step, in ms.
+// Now returns the virtual time, in ms.
 func (n *Network) Now() float64 { return n.now }
 
-// Steps returns the number of steps so far.
+// Steps returns the number of steps so far. Iterations of processes, deliveries of segments and callbacks are steps.
 func (n *Network) Steps() uint64 { return n.steps }
 
-// Hash returns a running hash of all steps: of their times, processes and segments.
+// Hash returns the hash of all steps so far.
+// It covers the time and kind of each step, and its process or the connection and size of its segment.
 func (n *Network) Hash() uint64 { return n.hash }
 
-// enqueue adds an event. The order of events of the same time depends on their source and on how many events the source
-// has added before, so that an additional event of another source does not change it.
+// enqueue adds an event to the queue. An event in the past is handled at the present time.
+// The order of events of the same time depends on source, which identifies the origin of the event, and on count, the
+// number of events of that origin.
+// So an additional event of another origin does not change the order.
 func (n *Network) enqueue(e event, source uint64, count *uint64) {
 	*count++
 	e.at = max(e.at, n.now)
@@ -85,13 +93,14 @@
 	n.queue.push(e)
 }
 
-// Schedule makes a call at a time, or now if that is past. The name orders events of the same time.
+// Schedule calls a function at a virtual time in ms, or at the present time if at is in the past.
+// The name determines the order of events of the same time.
 func (n *Network) Schedule(at float64, name string, callback func()) {
 	var count uint64
 	n.enqueue(event{at: at, callback: callback}, randstream.Hash(n.seed, name), &count)
 }
 
-// Run takes all steps until the given time.
+// Run handles all events up to a virtual time in ms, and advances the clock to it.
 func (n *Network) Run(until float64) {
 	for len(n.queue) > 0 && n.queue[0].at <= until {
 		e := n.queue.pop()
@@ -101,6 +110,7 @@
 	n.now = max(n.now, until)
 }
 
+// handle handles an event that is due.
 func (n *Network) handle(e *event) {
 	switch {
 	case e.process != nil:
@@ -116,7 +126,8 @@
 	}
 }
 
-// recordStep counts a step and folds it into the hash.
+// recordStep counts a step and mixes it into the hash.
+// detail identifies the process, or the connection and size of the segment; it is 0 for a callback.
 func (n *Network) recordStep(kind stepKind, detail uint64) {
 	n.steps++
 	n.hash = randstream.CombineHash(randstream.CombineHash(n.hash, uint64(n.now*1e6)), uint64(kind)<<56^detail)
--- a/internal/simulation/simnet/socket.go
+++ b/internal/simulation/simnet/socket.go
@@ -10,69 +10,72 @@
 )
 
 const (
-	// maxWindowBytes is how many bytes may be in transit or unread in one direction.
+	// maxWindowBytes is the maximum number of bytes of one direction that are in transit or unread by the receiver.
 	maxWindowBytes = 48 << 10
 
-	// writableThreshold is below how many such bytes a socket is writable.
+	// writableThreshold is the number of bytes in transit or unread up to which a socket is reported as writable.
 	writableThreshold = maxWindowBytes * 2 / 3
 
-	// shortWriteChance is the chance that a fragmented write is short, as with a buffer that is nearly full.
+	// shortWriteChance is the probability that a fragmented write accepts only part of the data, as it does if the
+	// send buffer is nearly full.
 	shortWriteChance = 0.3
 )
 
 // socket is a listener, or one end of a connection.
 type socket struct {
-	process    *Process
-	fd         int // noDescriptor before it is accepted, and once it is closed
-	addr       netip.AddrPort
-	closed     bool
-	watched    bool
-	events     uint32 // that it is watched for
-	generation int32
-	isCandidate  bool // it is among the process's candidates
+	process     *Process
+	fd          int            // noDescriptor before Accept and after Close
+	addr        netip.AddrPort // address of a listener, or destination of Connect
+	closed      bool
+	watched     bool
+	events      uint32 // events that the socket is watched for
+	generation  int32  // passed to Add or Modify, and returned with each event
+	isCandidate bool   // the socket is in the process's readyCandidates
 
-	// A listener.
+	// Fields of a listener.
 	listening       bool
-	backlog         []*socket
-	queueingStopped bool
+	backlog         []*socket // established connections that are not accepted yet
+	queueingStopped bool      // StopQueueing was called
 
-	// One end of a connection.
-	peer           *socket
-	connecting     bool
-	isReset        bool
-	closeWithReset bool
-	err            unix.Errno // not reported yet, 0 for none
-	received       []byte     // and not read
-	writeTimes     []writeTime
-	lastReadSentAt float64
+	// Fields of one end of a connection.
+	peer           *socket     // other end; nil before a listener has received the SYN
+	connecting     bool        // Connect was called and no SYN-ACK has arrived
+	isReset        bool        // a reset was sent or received
+	closeWithReset bool        // close sends a reset
+	err            unix.Errno  // pending error; 0 if there is none
+	received       []byte      // bytes that were received and not read
+	writeTimes     []writeTime // covers all bytes of received, in order
+	lastReadSentAt float64     // ms, when the peer wrote the byte that was read last
 	receivedFIN    bool
 	sentFIN        bool
-	writeBlocked   bool // a write was short
-	inFlight       int  // bytes written and not read by the peer
+	writeBlocked   bool // the last write accepted only part of its data
+	inFlight       int  // bytes that this end wrote and the peer has not read
 	outgoing       pipe
-	rng            *randstream.Stream // of the connection
-	tiebreaker     uint64
-	eventCount     uint64
+	rng            *randstream.Stream // shared by both ends of the connection
+	tiebreaker     uint64             // identifies this end, to order events of the same time
+	eventCount     uint64             // events that this end has enqueued
 }
 
-// writeTime tells when received bytes were written.
+// writeTime is the time at which the peer wrote a range of the received bytes.
 type writeTime struct {
-	byteCount int
-	writtenAt float64
+	byteCount int     // length of the range
+	writtenAt float64 // ms
 }
 
+// newSocket returns a socket of a process, without a descriptor.
 func newSocket(p *Process) *socket {
 	s := &socket{process: p, fd: noDescriptor}
 	s.outgoing.sender = s
 	return s
 }
 
-// enqueue adds an event of the socket.
+// enqueue adds an event whose origin is the socket to the event queue.
 func (s *socket) enqueue(e event) { s.process.net.enqueue(e, s.tiebreaker, &s.eventCount) }
 
+// isOpen reports whether the socket has a descriptor.
 func (s *socket) isOpen() bool { return s.fd != noDescriptor }
 
-// consumeError returns and clears the socket's error.
+// consumeError returns and clears the pending error. It returns nil if there is none.
 func (s *socket) consumeError() error {
 	if s.err == 0 {
 		return nil
@@ -82,7 +85,8 @@
 	return err
 }
 
-// readyEvents returns the events that the socket is watched for and ready for.
+// readyEvents returns the events that the socket is ready for and that are reported to its watcher.
+// An error and the close of both sides are always reported.
 func (s *socket) readyEvents() uint32 {
 	var events uint32
 	switch {
@@ -99,6 +103,7 @@
 	return events & (s.events | loop.Failed)
 }
 
+// connectionReadyEvents returns the events that an established connection is ready for.
 func (s *socket) connectionReadyEvents() uint32 {
 	var events uint32
 	if len(s.received) > 0 || s.receivedFIN {
@@ -116,7 +121,7 @@
 	return events
 }
 
-// receive receives a segment.
+// receive handles a segment that has arrived.
 func (s *socket) receive(g segment) {
 	s.traceSegment(&g)
 	switch {
@@ -124,7 +129,7 @@
 		s.receiveReset()
 		return
 	case s.closed:
-		if len(g.data) > 0 && !s.isReset { // data after the close is answered by a reset
+		if len(g.data) > 0 && !s.isReset { // data that arrives at a closed socket causes a reset
 			s.isReset = true
 			s.outgoing.send(segment{reset: true})
 		}
@@ -140,6 +145,7 @@
 	s.process.notify(s)
 }
 
+// traceSegment writes a delivered segment to the trace.
 func (s *socket) traceSegment(g *segment) {
 	n := s.process.net
 	if n.trace == nil {
@@ -155,6 +161,7 @@
 	n.tracef("%s -> %s #%x %s%.160q", s.peer.process.name, s.process.name, s.tiebreaker&0xffff, kind, g.data)
 }
 
+// receiveReset handles a reset, or the refusal of a connection, and sets the pending error as Linux does.
 func (s *socket) receiveReset() {
 	if s.isReset || s.closed {
 		s.isReset = true
@@ -172,6 +179,7 @@
 	s.process.notify(s)
 }
 
+// read reads received bytes, see Process.Read.
 func (s *socket) read(buffer []byte) (int, error) {
 	if len(s.received) > 0 {
 		return s.readReceived(buffer), nil
@@ -185,18 +193,19 @@
 	return 0, unix.EAGAIN
 }
 
+// readReceived moves received bytes to buffer and returns their number.
 func (s *socket) readReceived(buffer []byte) int {
 	n := copy(buffer, s.received)
 	s.received = s.received[n:]
 	if len(s.received) == 0 {
-		s.received = nil // releases the buffer
+		s.received = nil // releases the memory of the buffer
 	}
 	s.advanceWriteTimes(n)
 	s.peer.onPeerRead(n)
 	return n
 }
 
-// advanceWriteTimes finds out when the last of so many bytes was written.
+// advanceWriteTimes removes the write times of n bytes that were read, and sets lastReadSentAt to the last of them.
 func (s *socket) advanceWriteTimes(n int) {
 	for n > 0 {
 		mark := &s.writeTimes[0]
@@ -210,7 +219,8 @@
 	}
 }
 
-// onPeerRead opens the window by bytes that the peer has read.
+// onPeerRead increases the window by the bytes that the peer has read.
+// If writes were blocked, the process is notified after the latency of the window update.
 func (s *socket) onPeerRead(n int) {
 	s.inFlight -= n
 	if !s.writeBlocked || s.inFlight > writableThreshold {
@@ -222,6 +232,8 @@
 	s.enqueue(event{at: at, callback: func() { s.process.notify(s) }})
 }
 
+// write writes as many bytes as the window allows, see Process.Write.
+// It returns 0 bytes without an error if the window is full or the connection is not established yet.
 func (s *socket) write(data []byte) (int, error) {
 	if s.isReset {
 		if err := s.consumeError(); err != nil {
@@ -253,7 +265,7 @@
 	return n, nil
 }
 
-// sendFragments sends data in segments of random sizes.
+// sendFragments sends a copy of data in segments of random sizes.
 func (s *socket) sendFragments(data []byte) {
 	for len(data) > 0 {
 		size := 1 + s.rng.IntN(len(data))
@@ -267,6 +279,7 @@
 	s.outgoing.send(segment{data: append([]byte(nil), data...)})
 }
 
+// closeWrite sends a FIN, unless one was sent or the connection is not established.
 func (s *socket) closeWrite() {
 	if !s.sentFIN && !s.isReset && !s.connecting {
 		s.sentFIN = true
@@ -274,7 +287,7 @@
 	}
 }
 
-// close closes this end. A connection with unread input is reset, as by a real kernel.
+// close closes this end. As in Linux, a connection is reset if it has unread input.
 func (s *socket) close() {
 	if s.closed {
 		return
@@ -292,7 +305,7 @@
 	}
 }
 
-// closeListener resets the connections of the backlog.
+// closeListener stops listening and resets the connections of the backlog.
 func (s *socket) closeListener() {
 	delete(s.process.net.listeners, s.addr)
 	for _, accepted := range s.backlog {
