--- a/internal/simulation/faultinject/files.go
+++ b/internal/simulation/faultinject/files.go
@@ -20,15 +20,15 @@
 // FileRule delays a file operation, and makes it fail if the rule has an error.
 type FileRule struct {
 	Call       FileCall `json:"call"`
-	ErrnoName  string   `json:"errno"`   // "" delays the operation and lets it proceed
-	FromMS     float64  `json:"from_ms"` // time since NewFiles at which the rule begins to apply
-	DurationMS float64  `json:"for_ms"`  // 0 means that the rule applies without end
-	DelayMS    float64  `json:"delay_ms"`
+	ErrnoName  string   `json:"errno"`    // "" delays the operation and lets it proceed
+	FromMS     float64  `json:"from_ms"`  // ms after NewFiles at which the rule begins to apply
+	DurationMS float64  `json:"for_ms"`   // ms for which the rule applies; 0 means without end
+	DelayMS    float64  `json:"delay_ms"` // ms by which the operation is delayed
 
 	errno unix.Errno // value of ErrnoName, set by schedule.resolve
 }
 
-// active reports whether the rule applies when elapsed has passed since NewFiles.
+// active reports whether the rule applies when the given time has elapsed since NewFiles.
 func (r *FileRule) active(elapsed time.Duration) bool {
 	if elapsed < milliseconds(r.FromMS) {
 		return false
@@ -48,7 +48,7 @@
 	Remove(path string) error
 }
 
-// Files is a FileSystem whose operations fail or are delayed as its rules say.
+// Files is a FileSystem that injects delays and errors into the operations of another one.
 type Files struct {
 	inner     FileSystem
 	rules     []FileRule
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// Write writes a file. It returns the injected error if a rule applies.
+// Write writes a file after the injected delay. It returns the injected error if there is one.
 func (f *Files) Write(path string, data []byte) error {
 	if err := f.failure(FileWrite); err != nil {
 		return err
@@ -85,7 +85,7 @@
 	return f.inner.Write(path, data)
 }
 
-// Rename renames a file. It returns the injected error if a rule applies.
+// Rename renames a file after the injected delay. It returns the injected error if there is one.
 func (f *Files) Rename(from, to string) error {
 	if err := f.failure(FileRename); err != nil {
 		return err
@@ -93,7 +93,7 @@
 	return f.inner.Rename(from, to)
 }
 
-// Sync syncs a directory to stable storage. It returns the injected error if a rule applies.
+// Sync syncs a directory to stable storage after the injected delay. It returns the injected error if there is one.
 func (f *Files) Sync(dir string) error {
 	if err := f.failure(FileSync); err != nil {
 		return err
@@ -101,7 +101,7 @@
 	return f.inner.Sync(dir)
 }
 
-// Remove removes a file. It returns the injected error if a rule applies.
+// Remove removes a file after the injected delay. It returns the injected error if there is one.
 func (f *Files) Remove(path string) error {
 	if err := f.failure(FileRemove); err != nil {
 		return err
--- a/internal/simulation/faultinject/kernel.go
+++ b/internal/simulation/faultinject/kernel.go
@@ -1,7 +1,7 @@
 // Package faultinject injects faults into the system calls of an event loop and into file operations.
 //
-// System calls fail with errors that Linux documents for them, reads and writes transfer a single byte, waits return
-// early, and the wall clock is stepped.
+// System calls fail with errors that Linux documents for them.
+// Reads and writes transfer a single byte, waits return early, and the wall clock is stepped.
 // The faults can be injected both into the kernel of the operating system and into the simulated one.
 package faultinject
 
--- a/internal/simulation/faultinject/transient.go
+++ b/internal/simulation/faultinject/transient.go
@@ -3,7 +3,7 @@
 import "golang.org/x/sys/unix"
 
 // TransientRules returns rules for faults that must neither break a connection nor change a response.
-// Under them, reads and writes are short, interrupted or delayed, calls fail for lack of memory, and waits return early.
+// Reads and writes are short, interrupted or delayed, calls fail for lack of memory, and waits return early.
 // The key of each rule is the name of a subtest.
 func TransientRules() map[string]Rule {
 	return map[string]Rule{
--- a/internal/simulation/names/names.go
+++ b/internal/simulation/names/names.go
@@ -145,7 +145,7 @@
 )
 
 // Names of scheduled events.
-// The second half of each comment says what happens at the event.
+// Each comment says what happens at the event, and before that what follows the name or which argument it has.
 const (
 	BalancerStart   = "start/"     // followed by the balancer; its first process starts
 	BalancerRestart = "again/"     // followed by the process that has exited; its successor starts
--- a/internal/simulation/simnet/connect.go
+++ b/internal/simulation/simnet/connect.go
@@ -3,7 +3,7 @@
 import "net/netip"
 
 const (
-	maxBacklog           = 512    // connections that a listener holds until they are accepted
+	maxBacklog           = 512    // maximum number of established connections that a listener holds until Accept
 	connectRetryInterval = 1000.0 // ms until a SYN that got no reply is sent again
 
 	// noListenerJitter is the maximum jitter, in ms, of a SYN to an address without a listener.
--- a/internal/simulation/simnet/faults.go
+++ b/internal/simulation/simnet/faults.go
@@ -1,6 +1,6 @@
 package simnet
 
-// HealMode determines what happens, when a partition heals, to the connections that it affected.
+// HealMode selects what happens to the affected connections when a partition heals.
 type HealMode uint8
 
 // The heal modes.
--- a/internal/simulation/simnet/kernel.go
+++ b/internal/simulation/simnet/kernel.go
@@ -19,7 +19,9 @@
 )
 
 // Now returns the time of the process's clock, in ms.
-// It equals the clock of the network, or is ahead of it by the time that the process's system calls have taken.
+// During an iteration it is the end of the last system call.
+// At the start of an iteration that lies in the past, because the process has been waiting since then.
+// Between iterations it is the time of the network, or the end of the last system call if that is later.
 func (p *Process) Now() float64 {
 	if p.running {
 		return p.clock
@@ -35,8 +37,8 @@
 
 // Wait stores the events of ready descriptors and returns their number.
 // The order is random, because Linux does not guarantee any order.
-// Wait does not block: the next iteration of the loop is scheduled for the time when a descriptor is ready or a timer is
-// due.
+// Wait does not block.
+// Instead the next iteration of the loop is scheduled for the time when a descriptor is ready or a timer is due.
 func (p *Process) Wait(into []loop.Event, _ int) (int, error) {
 	p.advanceClock()
 	list := p.readyCandidates
@@ -200,8 +202,8 @@
 // SocketError returns and clears the pending error of a socket. It returns nil if there is none.
 func (p *Process) SocketError(fd int) error { return p.socketOf(fd).consumeError() }
 
-// Read reads received bytes. It returns unix.EAGAIN if there are none, and 0 bytes without an error at the end of the
-// stream.
+// Read reads received bytes.
+// It returns unix.EAGAIN if there are none, and 0 bytes without an error at the end of the stream.
 func (p *Process) Read(fd int, buffer []byte) (int, error) {
 	p.advanceClock()
 	return p.socketOf(fd).read(buffer)
@@ -213,8 +215,7 @@
 	return p.socketOf(fd).write(data)
 }
 
-// IdleOpen reports whether a connection is established, open in both directions as far as this end knows, and has no
-// unread bytes.
+// IdleOpen reports whether a connection is established, neither closed by the peer nor reset, and has no unread bytes.
 func (p *Process) IdleOpen(fd int) bool {
 	s := p.socketOf(fd)
 	return !s.connecting && !s.receivedFIN && !s.isReset && len(s.received) == 0
--- a/internal/simulation/simnet/network.go
+++ b/internal/simulation/simnet/network.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// SetTrace sets a function that is called with a line of text for each delivered segment, each refused connection and
-// each killed process.
+// SetTrace sets the function that receives the trace.
+// It is called with a line of text for each delivered segment, refused connection and killed process.
 func (n *Network) SetTrace(trace func(string)) { n.trace = trace }
 
 // tracef writes a line to the trace.
--- a/internal/simulation/simnet/process.go
+++ b/internal/simulation/simnet/process.go
@@ -148,7 +148,7 @@
 	err := p.loop.Turn()
 	p.running = false
 	if err != nil {
-		panic(err) // a loop only fails if Wait does, which returns no error here
+		panic(err) // Turn returns only errors of Wait, and Process.Wait returns none
 	}
 	if p.exited {
 		return
--- a/internal/simulation/simnet/process_test.go
+++ b/internal/simulation/simnet/process_test.go
@@ -9,8 +9,8 @@
 	"salttrack/internal/loop"
 )
 
-// TestStallAndKill checks that a stalled process does nothing until the stall ends, and that a killed process resets its
-// connections.
+// TestStallAndKill checks that a stalled process does nothing until the stall ends.
+// It also checks that a killed process resets its connections.
 func TestStallAndKill(t *testing.T) {
 	net, a, b := newTestNetwork(1)
 	serve(b, 0, func(int) handler { return func(uint32) {} })
--- a/internal/simulation/simnet/scheduler.go
+++ b/internal/simulation/simnet/scheduler.go
@@ -11,8 +11,8 @@
 	callbackStep                      // the call of a scheduled function
 )
 
-// event is an entry of the event queue: an iteration of a process, the delivery of the first segment of a pipe, or the
-// call of a function.
+// event is an entry of the event queue.
+// It is an iteration of a process, the delivery of the first segment of a pipe, or the call of a function.
 // Exactly one of process, pipe and callback is set.
 type event struct {
 	at         float64 // ms
@@ -83,9 +83,9 @@
 func (n *Network) Hash() uint64 { return n.hash }
 
 // enqueue adds an event to the queue. An event in the past is handled at the present time.
-// The order of events of the same time depends on source, which identifies the origin of the event, and on count, the
-// number of events of that origin.
-// So an additional event of another origin does not change the order.
+// source identifies the origin of the event, and count is the number of events of that origin.
+// They determine the order of events of the same time.
+// An additional event of another origin therefore does not change the order of the others.
 func (n *Network) enqueue(e event, source uint64, count *uint64) {
 	*count++
 	e.at = max(e.at, n.now)
--- a/internal/simulation/simnet/socket.go
+++ b/internal/simulation/simnet/socket.go
@@ -16,8 +16,8 @@
 	// writableThreshold is the number of bytes in transit or unread up to which a socket is reported as writable.
 	writableThreshold = maxWindowBytes * 2 / 3
 
-	// shortWriteChance is the probability that a fragmented write accepts only part of the data, as it does if the
-	// send buffer is nearly full.
+	// shortWriteChance is the probability that a fragmented write accepts only part of the data.
+	// Linux does the same if the send buffer is nearly full.
 	shortWriteChance = 0.3
 )
 
@@ -85,8 +85,7 @@
 	return err
 }
 
-// readyEvents returns the events that the socket is ready for and that are reported to its watcher.
-// An error and the close of both sides are always reported.
+// readyEvents returns the events that the socket is ready for, limited to those it is watched for and loop.Failed.
 func (s *socket) readyEvents() uint32 {
 	var events uint32
 	switch {
