--- a/internal/simulation/simnet/kernel.go
+++ b/internal/simulation/simnet/kernel.go
@@ -20,7 +20,7 @@
 
 // Now returns the time of the process's clock, in ms.
 // During an iteration it is the end of the last system call.
-// At the start of an iteration that lies in the past, because the process has been waiting since then.
+// At the start of an iteration it is therefore in the past, because the process has been waiting since then.
 // Between iterations it is the time of the network, or the end of the last system call if that is later.
 func (p *Process) Now() float64 {
 	if p.running {
