--- a/internal/simulation/simnet/kernel.go
+++ b/internal/simulation/simnet/kernel.go
@@ -1,6 +1,7 @@
 package simnet
 
 import (
+	"fmt"
 	"net/netip"
 
 	"golang.org/x/sys/unix"
@@ -9,15 +10,18 @@
 	"salttrack/internal/simulation/randstream"
 )
 
-// callDuration is the time that a system call takes, in ms.
-const callDuration = 0.002
+// systemCallDuration is the time that a system call takes on the process's clock, in ms.
+const systemCallDuration = 0.002
 
 const (
-	firstDescriptor = 3
-	noDescriptor    = -1
+	firstDescriptor = 3  // 0 to 2 are standard input, output and error
+	noDescriptor    = -1 // returned with an error, and set in sockets without a descriptor
 )
 
-// Now returns the process's clock: that of the network, or ahead of it while the process works.
+// Now returns the time of the process's clock, in ms.
+// During an iteration it is the end of the last system call.
+// At the start of an iteration it is therefore in the past, because the process has been waiting since then.
+// Between iterations it is the time of the network, or the end of the last system call if that is later.
 func (p *Process) Now() float64 {
 	if p.running {
 		return p.clock
@@ -25,17 +29,19 @@
 	return max(p.clock, p.net.now)
 }
 
-// Wall returns the clock of the machine, which may have been stepped.
+// Wall returns the time of the machine's wall clock, in ms: the time of Now plus the steps of Network.StepClock.
 func (p *Process) Wall() float64 { return p.Now() + p.net.clockOffset }
 
-// spendCallTime advances the process's clock by the duration of a system call.
-func (p *Process) spendCallTime() { p.clock = max(p.clock, p.net.now) + callDuration }
+// advanceClock advances the process's clock by the duration of a system call.
+func (p *Process) advanceClock() { p.clock = max(p.clock, p.net.now) + systemCallDuration }
 
-// Wait returns ready descriptors in random order, as a kernel promises none. It does not block: the next iteration is
-// planned when something is ready.
+// Wait stores the events of ready descriptors and returns their number.
+// The order is random, because Linux does not guarantee any order.
+// Wait does not block.
+// Instead the next iteration of the loop is scheduled for the time when a descriptor is ready or a timer is due.
 func (p *Process) Wait(into []loop.Event, _ int) (int, error) {
-	p.spendCallTime()
-	list := p.candidates
+	p.advanceClock()
+	list := p.readyCandidates
 	if len(list) > 1 {
 		p.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	}
@@ -47,7 +53,7 @@
 			events = s.readyEvents()
 		}
 		if events == 0 {
-			s.candidate = false
+			s.isCandidate = false
 			continue
 		}
 		ready = append(ready, s)
@@ -57,31 +63,32 @@
 		}
 	}
 	clear(list[len(ready):])
-	p.candidates = ready
+	p.readyCandidates = ready
 	return count, nil
 }
 
-// Wake plans an iteration at once.
+// Wake schedules an iteration of the loop at the present time.
 func (p *Process) Wake() {
 	p.woken = true
-	p.planBy(p.net.now)
+	p.scheduleIterationBy(p.net.now)
 }
 
-// notify plans an iteration if a socket has become ready.
+// notify schedules an iteration of the loop if a socket is watched and has become ready.
 func (p *Process) notify(s *socket) {
 	if !s.isOpen() || !s.watched || p.exited {
 		return
 	}
-	if !s.candidate {
-		s.candidate = true
-		p.candidates = append(p.candidates, s)
+	if !s.isCandidate {
+		s.isCandidate = true
+		p.readyCandidates = append(p.readyCandidates, s)
 	}
 	if s.readyEvents() != 0 {
-		p.planBy(p.net.now)
+		p.scheduleIterationBy(p.net.now)
 	}
 }
 
-// allocateDescriptor gives a socket the lowest free descriptor.
+// allocateDescriptor assigns the lowest free descriptor to a socket.
+// It returns unix.EMFILE if the process has reached its limit on open descriptors.
 func (p *Process) allocateDescriptor(s *socket) (int, error) {
 	if p.openDescriptors >= p.maxDescriptors {
 		return noDescriptor, unix.EMFILE
@@ -100,15 +107,16 @@
 	return fd, nil
 }
 
-// socketOf returns the socket of a descriptor. The use of a closed one is a defect of the program under test.
+// socketOf returns the socket of a descriptor.
+// It panics if the descriptor is not open, because its use is a bug in the program under test.
 func (p *Process) socketOf(fd int) *socket {
 	if fd < 0 || fd >= len(p.sockets) || p.sockets[fd] == nil {
-		panic(p.name + ": use of a descriptor that is not open")
+		panic(fmt.Sprintf("%s: system call on descriptor %d, which is not open", p.name, fd))
 	}
 	return p.sockets[fd]
 }
 
-// Add watches a descriptor.
+// Add begins to watch a descriptor for events. It returns unix.EEXIST if the descriptor is watched already.
 func (p *Process) Add(fd int, events uint32, generation int32) error {
 	s := p.socketOf(fd)
 	if s.watched {
@@ -121,9 +129,9 @@
 	return nil
 }
 
-// Modify changes the events that a descriptor is watched for.
+// Modify replaces the events and the generation of a watched descriptor.
 func (p *Process) Modify(fd int, events uint32, generation int32) error {
-	p.spendCallTime()
+	p.advanceClock()
 	s := p.socketOf(fd)
 	s.events = events
 	s.generation = generation
@@ -131,10 +139,11 @@
 	return nil
 }
 
-// Remove ends the watch of a descriptor, which stays open.
+// Remove stops watching a descriptor, which stays open.
 func (p *Process) Remove(fd int) { p.socketOf(fd).watched = false }
 
-// Listen opens a listener.
+// Listen returns a listening socket.
+// It returns unix.EADDRINUSE if the address has a listener, and unix.EMFILE at the limit on open descriptors.
 func (p *Process) Listen(addr netip.AddrPort) (int, error) {
 	if p.net.listeners[addr] != nil {
 		return noDescriptor, unix.EADDRINUSE
@@ -148,34 +157,36 @@
 	return fd, err
 }
 
-// StopQueueing stops new connections at a listener. They get no answer; those in the backlog can still be accepted.
+// StopQueueing makes a listener ignore new connections. Their SYNs get no reply.
+// Connections in the backlog can still be accepted.
 func (p *Process) StopQueueing(fd int) {
-	p.spendCallTime()
+	p.advanceClock()
 	p.socketOf(fd).queueingStopped = true
 }
 
-// Connect begins a connection.
+// Connect begins a connection. It returns unix.EMFILE at the limit on open descriptors.
 func (p *Process) Connect(addr netip.AddrPort) (int, error) {
-	p.spendCallTime()
+	p.advanceClock()
 	s := newSocket(p)
-	p.connectionsBegun++
-	rng := randstream.Numbered(p.id, p.connectionsBegun)
+	p.connectCount++
+	rng := randstream.NewNumbered(p.id, p.connectCount)
 	s.rng = &rng
-	s.tiebreaker = randstream.CombineHash(p.id, p.connectionsBegun)
+	s.tiebreaker = randstream.CombineHash(p.id, p.connectCount)
 	s.connecting = true
 	s.addr = addr
 	fd, err := p.allocateDescriptor(s)
 	if err != nil {
 		return noDescriptor, err
 	}
-	p.net.connectors = append(p.net.connectors, s)
+	p.net.initiators = append(p.net.initiators, s)
 	p.net.sendConnect(s)
 	return fd, nil
 }
 
-// Accept accepts a connection of the backlog.
+// Accept accepts the first connection of a listener's backlog.
+// It returns unix.EAGAIN if the backlog is empty, and unix.EMFILE at the limit on open descriptors.
 func (p *Process) Accept(fd int) (int, error) {
-	p.spendCallTime()
+	p.advanceClock()
 	listener := p.socketOf(fd)
 	if len(listener.backlog) == 0 {
 		return noDescriptor, unix.EAGAIN
@@ -188,37 +199,38 @@
 	return accepted, nil
 }
 
-// SocketError returns and clears the error of a socket.
+// SocketError returns and clears the pending error of a socket. It returns nil if there is none.
 func (p *Process) SocketError(fd int) error { return p.socketOf(fd).consumeError() }
 
 // Read reads received bytes.
+// It returns unix.EAGAIN if there are none, and 0 bytes without an error at the end of the stream.
 func (p *Process) Read(fd int, buffer []byte) (int, error) {
-	p.spendCallTime()
+	p.advanceClock()
 	return p.socketOf(fd).read(buffer)
 }
 
-// Write writes what the window allows.
+// Write writes as many bytes as the window allows, and returns their number.
 func (p *Process) Write(fd int, data []byte) (int, error) {
-	p.spendCallTime()
+	p.advanceClock()
 	return p.socketOf(fd).write(data)
 }
 
-// IdleOpen reports whether a connection is open and nothing was received on it.
+// IdleOpen reports whether a connection is established, neither closed by the peer nor reset, and has no unread bytes.
 func (p *Process) IdleOpen(fd int) bool {
 	s := p.socketOf(fd)
-	return !s.connecting && !s.receivedEnd && !s.isReset && len(s.received) == 0
+	return !s.connecting && !s.receivedFIN && !s.isReset && len(s.received) == 0
 }
 
-// PeerClosed reports whether the peer has closed its sending side, or the connection is broken.
+// PeerClosed reports whether the peer has closed its writing side, or the connection was reset.
 func (p *Process) PeerClosed(fd int) bool {
 	s := p.socketOf(fd)
-	return s.receivedEnd || s.isReset
+	return s.receivedFIN || s.isReset
 }
 
-// CloseWrite closes the sending side of a connection.
+// CloseWrite closes the writing side of a connection.
 func (p *Process) CloseWrite(fd int) { p.socketOf(fd).closeWrite() }
 
-// Close closes a descriptor.
+// Close closes a descriptor and stops watching it.
 func (p *Process) Close(fd int) {
 	s := p.socketOf(fd)
 	p.sockets[fd] = nil
@@ -229,8 +241,8 @@
 	s.watched = false
 }
 
-// LastReadSentAt returns when the peer wrote the byte that was read last from a descriptor.
+// LastReadSentAt returns the time, in ms, at which the peer wrote the byte that was last read from a descriptor.
 func (p *Process) LastReadSentAt(fd int) float64 { return p.socketOf(fd).lastReadSentAt }
 
-// PeerName returns the process at the other end of a connection.
+// PeerName returns the name of the process at the other end of a connection.
 func (p *Process) PeerName(fd int) string { return p.socketOf(fd).peer.process.name }
--- a/internal/simulation/simnet/kernel_model_test.go
+++ b/internal/simulation/simnet/kernel_model_test.go
@@ -12,24 +12,23 @@
 	"salttrack/internal/loop"
 )
 
-// maxPolls is how often a test waits for an event, each time for pollInterval ms.
 const (
-	maxPolls     = 200
-	pollInterval = 50
+	maxPolls     = 200 // number of waits for an event after which a test fails
+	pollInterval = 50  // ms, timeout of each wait
 )
 
-// kernelCalls makes calls on a kernel and logs their results.
-type kernelCalls struct {
+// callRecorder calls the methods of a kernel and records their results as text.
+type callRecorder struct {
 	t          *testing.T
 	kernel     loop.Kernel
-	advance    func(ms float64) // advances the virtual clock, nil on the real kernel
+	advance    func(ms float64) // advances the virtual clock; nil for the real kernel
 	addr       netip.AddrPort
 	results    strings.Builder
 	generation int32
 }
 
-// await waits until a descriptor is ready for all given events.
-func (k *kernelCalls) await(fd int, events uint32) {
+// await waits until a descriptor is ready for all of the given events.
+func (k *callRecorder) await(fd int, events uint32) {
 	k.t.Helper()
 	var ready [16]loop.Event
 	for range maxPolls {
@@ -46,11 +45,12 @@
 			}
 		}
 	}
-	k.t.Fatalf("descriptor %d was never ready for %x\n%s", fd, events, k.results.String())
+	k.t.Fatalf("descriptor %d was not ready for events %#x after %d waits; results so far:\n%s", fd, events, maxPolls,
+		k.results.String())
 }
 
-// add watches a descriptor for all events.
-func (k *kernelCalls) add(fd int) {
+// add watches a descriptor for Readable, Writable and HangUp.
+func (k *callRecorder) add(fd int) {
 	k.t.Helper()
 	k.generation++
 	if err := k.kernel.Add(fd, loop.Readable|loop.Writable|loop.HangUp, k.generation); err != nil {
@@ -58,10 +58,13 @@
 	}
 }
 
-func (k *kernelCalls) logf(format string, args ...any) { fmt.Fprintf(&k.results, format+"\n", args...) }
+// logf records a result.
+func (k *callRecorder) logf(format string, args ...any) {
+	fmt.Fprintf(&k.results, format+"\n", args...)
+}
 
-// connectPair returns a connecting and an accepted descriptor, and the listener.
-func (k *kernelCalls) connectPair() (connected, accepted, listener int) {
+// connectPair establishes a connection. It returns the descriptors of both ends and of the listener.
+func (k *callRecorder) connectPair() (connected, accepted, listener int) {
 	k.t.Helper()
 	listener, err := k.kernel.Listen(k.addr)
 	if err != nil {
@@ -84,29 +87,31 @@
 	return connected, accepted, listener
 }
 
-func (k *kernelCalls) read(fd int) {
+// read reads up to 8 bytes and records the result.
+func (k *callRecorder) read(fd int) {
 	var buffer [8]byte
 	n, err := k.kernel.Read(fd, buffer[:])
 	k.logf("read %q %v", buffer[:n], err)
 }
 
-func (k *kernelCalls) write(fd int, data string) {
+// write writes data and records the result.
+func (k *callRecorder) write(fd int, data string) {
 	n, err := k.kernel.Write(fd, []byte(data))
 	k.logf("write %d %v", n, err)
 }
 
-// callSequences are sequences of calls that have the same results on both kernels.
-var callSequences = map[string]func(k *kernelCalls){
-	"data and end of stream":          dataAndEnd,
-	"connection refused":              connectionRefused,
-	"close with unread input resets":  closeWithUnreadInput,
-	"write to a closed peer":          writeToClosedPeer,
-	"descriptors are reused":          reuseDescriptors,
-	"closed listener refuses":         closeListener,
-	"window fills up and opens again": fillWindow,
+// callSequences are sequences of calls that must have the same results on the real and the simulated kernel.
+var callSequences = map[string]func(k *callRecorder){
+	"data and end of stream":           dataAndEnd,
+	"connection refused":               connectionRefused,
+	"close with unread input resets":   closeWithUnreadInput,
+	"write to a closed peer":           writeToClosedPeer,
+	"descriptors are reused":           reuseDescriptors,
+	"closed listener refuses connects": closeListener,
+	"full window reopens after reads":  fillWindow,
 }
 
-func dataAndEnd(k *kernelCalls) {
+func dataAndEnd(k *callRecorder) {
 	connected, accepted, _ := k.connectPair()
 	k.read(accepted)
 	k.logf("idle %v", k.kernel.IdleOpen(accepted))
@@ -128,7 +133,7 @@
 	k.read(connected)
 }
 
-func connectionRefused(k *kernelCalls) {
+func connectionRefused(k *callRecorder) {
 	fd, err := k.kernel.Connect(k.addr)
 	k.logf("connect %v", err)
 	k.add(fd)
@@ -136,7 +141,7 @@
 	k.logf("%v, then %v", k.kernel.SocketError(fd), k.kernel.SocketError(fd))
 }
 
-func closeWithUnreadInput(k *kernelCalls) {
+func closeWithUnreadInput(k *callRecorder) {
 	connected, accepted, _ := k.connectPair()
 	k.write(connected, "unread")
 	k.await(accepted, loop.Readable)
@@ -148,7 +153,7 @@
 	k.write(connected, "x")
 }
 
-func writeToClosedPeer(k *kernelCalls) {
+func writeToClosedPeer(k *callRecorder) {
 	connected, accepted, _ := k.connectPair()
 	k.kernel.Close(accepted)
 	k.await(connected, loop.Readable|loop.HangUp)
@@ -159,7 +164,7 @@
 	k.read(connected)
 }
 
-func reuseDescriptors(k *kernelCalls) {
+func reuseDescriptors(k *callRecorder) {
 	connected, accepted, listener := k.connectPair()
 	k.kernel.Close(connected)
 	again, err := k.kernel.Connect(k.addr)
@@ -172,7 +177,7 @@
 	k.logf("accept %v", err)
 }
 
-func closeListener(k *kernelCalls) {
+func closeListener(k *callRecorder) {
 	_, _, listener := k.connectPair()
 	k.kernel.Close(listener)
 	fd, _ := k.kernel.Connect(k.addr)
@@ -185,7 +190,7 @@
 	k.logf("second listener fails %v", err != nil)
 }
 
-func fillWindow(k *kernelCalls) {
+func fillWindow(k *callRecorder) {
 	connected, accepted, _ := k.connectPair()
 	sent := k.writeUntilBlocked(connected)
 	received := 0
@@ -205,8 +210,8 @@
 	k.read(accepted)
 }
 
-// writeUntilBlocked writes until the kernel accepts no more, and returns how many bytes it has accepted.
-func (k *kernelCalls) writeUntilBlocked(fd int) int {
+// writeUntilBlocked writes until the kernel accepts no more bytes. It returns the number of accepted bytes.
+func (k *callRecorder) writeUntilBlocked(fd int) int {
 	k.t.Helper()
 	chunk := []byte(strings.Repeat("x", 4096))
 	sent := 0
@@ -216,16 +221,16 @@
 			k.t.Fatal(err)
 		}
 		sent += n
-		stillMoving := k.advance == nil && sent < 1<<20 // the real kernel moves bytes to the peer meanwhile
-		if n == 0 && !stillMoving {
+		mayDrain := k.advance == nil && sent < 1<<20 // the real kernel moves bytes to the peer in the background
+		if n == 0 && !mayDrain {
 			break
 		}
 	}
 	return sent
 }
 
-// runOnMachine returns the results of a call sequence on the kernel of this machine.
-func runOnMachine(t *testing.T, sequence func(k *kernelCalls)) string {
+// runOnRealKernel returns the results of a call sequence on the kernel of the operating system.
+func runOnRealKernel(t *testing.T, sequence func(k *callRecorder)) string {
 	t.Helper()
 	kernel, err := epoll.New()
 	if err != nil {
@@ -238,20 +243,21 @@
 	}
 	addr := epoll.LocalAddress(listener)
 	unix.Close(listener)
-	calls := &kernelCalls{t: t, kernel: kernel, addr: addr}
+	calls := &callRecorder{t: t, kernel: kernel, addr: addr}
 	sequence(calls)
 	return calls.results.String()
 }
 
-// runOnModel returns the results of a call sequence on a simulated process.
-func runOnModel(t *testing.T, sequence func(k *kernelCalls)) string {
+// runOnSimulatedKernel returns the results of a call sequence on a simulated process.
+func runOnSimulatedKernel(t *testing.T, sequence func(k *callRecorder)) string {
 	t.Helper()
 	net := New(1, 0, func(string, string) Path { return Path{Latency: 1, Jitter: 0.5} })
 	process := net.Spawn("p", "m", "z", 100)
-	// The process has no loop that runs: no iteration may be planned earlier than this one.
-	process.iterationPlanned = true
+	// The test makes the calls instead of the process's loop.
+	// An iteration at -1 ms counts as scheduled, so none is scheduled for the loop: it would have to be earlier.
+	process.iterationScheduled = true
 	process.iterationAt = -1
-	calls := &kernelCalls{
+	calls := &callRecorder{
 		t:       t,
 		kernel:  process,
 		addr:    netip.MustParseAddrPort("127.0.0.1:1000"),
@@ -261,14 +267,14 @@
 	return calls.results.String()
 }
 
-// The simulated kernel and the real one return the same results.
+// TestSameResultsAsRealKernel checks that the simulated kernel and the real one return the same results.
 func TestSameResultsAsRealKernel(t *testing.T) {
 	for name, sequence := range callSequences {
 		t.Run(name, func(t *testing.T) {
-			machine := runOnMachine(t, sequence)
-			model := runOnModel(t, sequence)
-			if machine != model {
-				t.Errorf("the real kernel:\n%s\nthe simulated one:\n%s", machine, model)
+			fromReal := runOnRealKernel(t, sequence)
+			fromSimulated := runOnSimulatedKernel(t, sequence)
+			if fromReal != fromSimulated {
+				t.Errorf("results of the real kernel:\n%s\nresults of the simulated kernel:\n%s", fromReal, fromSimulated)
 			}
 		})
 	}
