--- a/internal/simulation/scenario/fault_specs.go
+++ b/internal/simulation/scenario/fault_specs.go
@@ -8,122 +8,124 @@
 	Description string
 	Target      TargetKind
 	Size        SizeSpec
-	OnLoopback  bool // it can be played on loopback sockets too
+	OnLoopback  bool // whether a run on loopback sockets supports the fault type
 
-	duration span // seconds that generated faults last
-	minZones int  // generated only for clusters of so many zones
-	weight   int  // relative frequency among generated faults; 0 is 1
+	duration valueRange // duration of generated faults, in seconds
+	minZones int        // minimum number of zones of a cluster for which the fault type is generated
+	weight   int        // relative frequency of the fault type among generated faults; 0 means 1
 }
 
-// SizeSpec describes the size of a fault type. The zero value allows a size of 0 alone.
+// SizeSpec describes the size of a fault, which determines how strong its effect is.
+// The zero value is for fault types without a size: the size of their faults has to be 0.
 type SizeSpec struct {
-	Meaning  string
-	Min, Max float64 // the fault has the least effect at Min
+	Meaning  string  // what the size is, for users
+	Min, Max float64 // smallest and largest allowed size; shrinking a scenario moves sizes towards Min
 
-	generated span
+	generated valueRange // sizes of generated faults
 }
 
-// span is a range that generated values are drawn from.
-type span struct{ from, to float64 }
+// valueRange is the range of a uniform distribution from which generated values are drawn.
+type valueRange struct{ from, to float64 }
 
-// FaultSpecs describes all fault types. Generation draws from it by position: another order changes all scenarios.
+// FaultSpecs describes all fault types.
+// Generate draws fault types by their index in this list, so another order changes the scenarios of all seeds.
 var FaultSpecs = []FaultSpec{
 	{
 		Name:        names.SlowUpstream,
-		Description: "an upstream serves slowly",
+		Description: "the service times of an upstream are longer",
 		Target:      UpstreamTarget,
-		Size:        SizeSpec{Meaning: "factor", Min: 1, Max: 1000, generated: span{2, 20}},
-		duration:    span{2, 15},
+		Size:        SizeSpec{Meaning: "service time factor", Min: 1, Max: 1000, generated: valueRange{2, 20}},
+		duration:    valueRange{2, 15},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.SlowTier,
-		Description: "all upstreams serve slowly",
-		Size:        SizeSpec{Meaning: "factor", Min: 1, Max: 1000, generated: span{1.3, 4}},
-		duration:    span{2, 10},
+		Description: "the service times of all upstreams are longer",
+		Size:        SizeSpec{Meaning: "service time factor", Min: 1, Max: 1000, generated: valueRange{1.3, 4}},
+		duration:    valueRange{2, 10},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.CostlyRequests,
-		Description: "one in twenty requests costs more",
-		Size:        SizeSpec{Meaning: "factor", Min: 1, Max: 1000, generated: span{8, 30}},
-		duration:    span{4, 15},
+		Description: "one request in twenty takes more CPU time on the upstream",
+		Size:        SizeSpec{Meaning: "service time factor", Min: 1, Max: 1000, generated: valueRange{8, 30}},
+		duration:    valueRange{4, 15},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.HangingUpstream,
 		Description: "an upstream accepts requests and never responds",
 		Target:      UpstreamTarget,
-		duration:    span{1, 12},
+		duration:    valueRange{1, 12},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.ErrorResponses,
-		Description: "an upstream responds with status 500",
+		Description: "an upstream sends responses with status 500",
 		Target:      UpstreamTarget,
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.2, 1}},
-		duration:    span{2, 12},
+		Size:        SizeSpec{Meaning: "fraction of requests", Max: 1, generated: valueRange{0.2, 1}},
+		duration:    valueRange{2, 12},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.CorruptResponses,
 		Description: "responses of all upstreams are corrupted",
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.01, 0.3}},
-		duration:    span{2, 15},
+		Size:        SizeSpec{Meaning: "fraction of responses", Max: 1, generated: valueRange{0.01, 0.3}},
+		duration:    valueRange{2, 15},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.ExtraResponses,
-		Description: "extra data follows responses",
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.02, 0.5}},
-		duration:    span{2, 15},
+		Description: "all upstreams send extra data after responses",
+		Size:        SizeSpec{Meaning: "fraction of responses", Max: 1, generated: valueRange{0.02, 0.5}},
+		duration:    valueRange{2, 15},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.RejectingUpstream,
 		Description: "an upstream rejects all requests",
 		Target:      UpstreamTarget,
-		duration:    span{1, 10},
+		duration:    valueRange{1, 10},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.CrashUpstream,
-		Description: "an upstream crashes and restarts, cold, at the end",
+		Description: "an upstream crashes; it restarts at the end and warms up",
 		Target:      UpstreamTarget,
-		duration:    span{0.3, 10},
+		duration:    valueRange{0.3, 10},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.UnreachableUpstream,
-		Description: "an upstream's machine is unreachable; the upstream restarts at the end",
+		Description: "the machine of an upstream is unreachable; the upstream restarts at the end",
 		Target:      UpstreamTarget,
-		duration:    span{0.5, 12},
+		duration:    valueRange{0.5, 12},
 	},
 	{
 		Name:        names.FreezeUpstream,
 		Description: "an upstream gets no CPU",
 		Target:      UpstreamTarget,
-		duration:    span{0.1, 3},
+		duration:    valueRange{0.1, 3},
 	},
 	{
 		Name:        names.DrainUpstream,
 		Description: "an upstream drains and exits; a new one starts at another address",
 		Target:      UpstreamTarget,
-		duration:    span{1, 5},
+		duration:    valueRange{1, 5},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.ReplaceUpstream,
-		Description: "an upstream drains while a new one already has its address",
+		Description: "an upstream drains while a new one already listens on its address",
 		Target:      UpstreamTarget,
-		duration:    span{1, 5},
+		duration:    valueRange{1, 5},
 		weight:      3,
 	},
 	{
 		Name:        names.RollingDeploy,
 		Description: "upstreams are replaced one after the other, each by a new one at its address",
-		Size:        SizeSpec{Meaning: "fraction", Min: 0.01, Max: 1, generated: span{0.2, 0.9}},
-		duration:    span{8, 20},
+		Size:        SizeSpec{Meaning: "fraction of upstreams", Min: 0.01, Max: 1, generated: valueRange{0.2, 0.9}},
+		duration:    valueRange{8, 20},
 		weight:      3,
 		OnLoopback:  true,
 	},
@@ -131,188 +133,188 @@
 		Name:        names.PartitionWithReset,
 		Description: "two zones are partitioned; connections are reset at the end",
 		Target:      ZonePairTarget,
-		duration:    span{0.5, 10},
+		duration:    valueRange{0.5, 10},
 		minZones:    2,
 	},
 	{
 		Name:        names.PartitionWithPause,
 		Description: "two zones are partitioned; connections resume at the end",
 		Target:      ZonePairTarget,
-		duration:    span{0.1, 5},
+		duration:    valueRange{0.1, 5},
 		minZones:    2,
 	},
 	{
 		Name:        names.HighLatency,
 		Description: "the latency between two zones is higher",
 		Target:      ZonePairTarget,
-		Size:        SizeSpec{Meaning: "factor", Min: 1, Max: 100, generated: span{2, 12}},
-		duration:    span{2, 12},
+		Size:        SizeSpec{Meaning: "latency factor", Min: 1, Max: 100, generated: valueRange{2, 12}},
+		duration:    valueRange{2, 12},
 		minZones:    2,
 	},
 	{
 		Name:        names.FragmentedWrites,
-		Description: "writes are fragmented and socket buffers are short",
-		Size:        SizeSpec{Meaning: "chance", Max: 1, generated: span{0.1, 1}},
-		duration:    span{2, 15},
+		Description: "writes are split into small segments, and some are short",
+		Size:        SizeSpec{Meaning: "fraction of writes", Max: 1, generated: valueRange{0.1, 1}},
+		duration:    valueRange{2, 15},
 	},
 	{
 		Name:        names.KillBalancer,
 		Description: "a balancer is killed and restarts at the end",
 		Target:      BalancerTarget,
-		duration:    span{0.3, 6},
+		duration:    valueRange{0.3, 6},
 	},
 	{
 		Name:        names.RestartBalancer,
 		Description: "a balancer gets SIGTERM and restarts once it has exited",
 		Target:      BalancerTarget,
-		duration:    span{0.5, 3},
+		duration:    valueRange{0.5, 3},
 	},
 	{
 		Name:        names.StallBalancer,
 		Description: "a balancer gets no CPU",
 		Target:      BalancerTarget,
-		duration:    span{0.005, 0.8},
+		duration:    valueRange{0.005, 0.8},
 		weight:      5,
 	},
 	{
 		Name:        names.RepeatedStalls,
-		Description: "a balancer gets no CPU, repeatedly",
+		Description: "a balancer repeatedly gets no CPU for a short time",
 		Target:      BalancerTarget,
-		Size:        SizeSpec{Meaning: "ms each", Min: 1, Max: 1000, generated: span{5, 400}},
-		duration:    span{2, 15},
+		Size:        SizeSpec{Meaning: "longest stall in ms", Min: 1, Max: 1000, generated: valueRange{5, 400}},
+		duration:    valueRange{2, 15},
 		weight:      3,
 	},
 	{
 		Name:        names.MoveDiscoveryAgent,
-		Description: "a balancer gets SIGHUP; discovery has another address from then on",
+		Description: "the discovery agent of a balancer moves to another address; the balancer gets SIGHUP",
 		Target:      BalancerTarget,
-		duration:    span{0.1, 0.1},
+		duration:    valueRange{0.1, 0.1},
 	},
 	{
 		Name:        names.DisableUpstream,
-		Description: "operators disable an upstream; it restarts, and is enabled at the end",
+		Description: "an upstream is disabled by an override, restarts, and is enabled at the end",
 		Target:      UpstreamTarget,
-		duration:    span{0.5, 10},
+		duration:    valueRange{0.5, 10},
 		weight:      2,
 	},
 	{
 		Name:        names.ChangeSettings,
-		Description: "a balancer gets SIGHUP: an invalid file, then reordered classes, one more class and other attempts",
+		Description: "a balancer gets SIGHUP with an invalid file, then with other classes and attempts",
 		Target:      BalancerTarget,
-		duration:    span{0.1, 0.1},
+		duration:    valueRange{0.1, 0.1},
 		weight:      2,
 	},
 	{
 		Name:        names.ReloadUnchanged,
-		Description: "a balancer gets SIGHUP without a change",
+		Description: "a balancer gets SIGHUP, and its file has not changed",
 		Target:      BalancerTarget,
-		duration:    span{0.1, 0.1},
+		duration:    valueRange{0.1, 0.1},
 	},
 	{
 		Name:        names.MutedDiscovery,
-		Description: "discovery sends a balancer nothing",
+		Description: "discovery sends nothing to a balancer",
 		Target:      BalancerTarget,
-		duration:    span{1, 12},
+		duration:    valueRange{1, 12},
 	},
 	{
 		Name:        names.LaggingDiscovery,
 		Description: "discovery publishes changes late",
-		Size:        SizeSpec{Meaning: "ms", Max: 10000, generated: span{300, 4000}},
-		duration:    span{3, 15},
+		Size:        SizeSpec{Meaning: "longest delay in ms", Max: 10000, generated: valueRange{300, 4000}},
+		duration:    valueRange{3, 15},
 	},
 	{
 		Name:        names.DuplicateUpdates,
 		Description: "discovery sends each change twice",
-		duration:    span{3, 15},
+		duration:    valueRange{3, 15},
 	},
 	{
 		Name:        names.DiscoveryConnectionReset,
-		Description: "discovery's connections break",
+		Description: "discovery resets the connections of a balancer",
 		Target:      BalancerTarget,
-		duration:    span{0.1, 0.1},
+		duration:    valueRange{0.1, 0.1},
 	},
 	{
 		Name:        names.ClockStep,
-		Description: "the clock of all machines is stepped, and back at the end",
-		Size:        SizeSpec{Meaning: "seconds forward", Min: -7200, Max: 7200, generated: span{-3600, 3600}},
-		duration:    span{0.5, 12},
+		Description: "the wall clock of all machines is stepped, and stepped back at the end",
+		Size:        SizeSpec{Meaning: "seconds forward", Min: -7200, Max: 7200, generated: valueRange{-3600, 3600}},
+		duration:    valueRange{0.5, 12},
 		weight:      2,
 	},
 	{
 		Name:        names.ShortReadsWrites,
-		Description: "reads and writes of a balancer transfer one byte",
+		Description: "read and write calls of a balancer transfer only one byte",
 		Target:      BalancerTarget,
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.05, 1}},
-		duration:    span{0.5, 6},
+		Size:        SizeSpec{Meaning: "fraction of calls", Max: 1, generated: valueRange{0.05, 1}},
+		duration:    valueRange{0.5, 6},
 	},
 	{
 		Name:        names.FailingSystemCalls,
-		Description: "system calls of a balancer fail for lack of descriptors, memory or ports",
+		Description: "system calls of a balancer fail for lack of descriptors, memory or ports, or by network errors",
 		Target:      BalancerTarget,
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.05, 0.6}},
-		duration:    span{0.1, 3},
+		Size:        SizeSpec{Meaning: "fraction of calls", Max: 1, generated: valueRange{0.05, 0.6}},
+		duration:    valueRange{0.1, 3},
 		weight:      2,
 	},
 	{
 		Name:        names.LoadSurge,
 		Description: "the request rate is higher",
-		Size:        SizeSpec{Meaning: "factor", Min: 0.01, Max: 50, generated: span{1.5, 5}},
-		duration:    span{2, 10},
+		Size:        SizeSpec{Meaning: "request rate factor", Min: 0.01, Max: 50, generated: valueRange{1.5, 5}},
+		duration:    valueRange{2, 10},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.CancellingClients,
-		Description: "clients cancel before the response",
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.05, 0.5}},
-		duration:    span{3, 15},
+		Description: "clients cancel requests before the response",
+		Size:        SizeSpec{Meaning: "fraction of requests", Max: 1, generated: valueRange{0.05, 0.5}},
+		duration:    valueRange{3, 15},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.SlowReaders,
-		Description: "clients read slowly",
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.02, 0.2}},
-		duration:    span{3, 15},
+		Description: "clients read responses slowly",
+		Size:        SizeSpec{Meaning: "fraction of responses", Max: 1, generated: valueRange{0.02, 0.2}},
+		duration:    valueRange{3, 15},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.SlowWriters,
-		Description: "clients write slowly",
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.02, 0.3}},
-		duration:    span{3, 15},
+		Description: "clients write requests slowly",
+		Size:        SizeSpec{Meaning: "fraction of requests", Max: 1, generated: valueRange{0.02, 0.3}},
+		duration:    valueRange{3, 15},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.PipeliningClients,
-		Description: "clients pipeline two requests",
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.02, 0.3}},
-		duration:    span{3, 15},
+		Description: "clients send a pipelined request after a request",
+		Size:        SizeSpec{Meaning: "fraction of requests", Max: 1, generated: valueRange{0.02, 0.3}},
+		duration:    valueRange{3, 15},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.NewConnections,
-		Description: "clients open new connections",
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.1, 1}},
-		duration:    span{3, 15},
+		Description: "clients open a new connection for a request",
+		Size:        SizeSpec{Meaning: "fraction of requests", Max: 1, generated: valueRange{0.1, 1}},
+		duration:    valueRange{3, 15},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.LateFirstRequests,
-		Description: "clients delay the first request on a connection",
-		Size:        SizeSpec{Meaning: "fraction", Max: 1, generated: span{0.05, 0.6}},
-		duration:    span{3, 15},
+		Description: "clients delay the first request on a new connection",
+		Size:        SizeSpec{Meaning: "fraction of requests", Max: 1, generated: valueRange{0.05, 0.6}},
+		duration:    valueRange{3, 15},
 		weight:      2,
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.MalformedClients,
 		Description: "clients send malformed input",
-		Size:        SizeSpec{Meaning: "connections a second", Max: 500, generated: span{1, 15}},
-		duration:    span{3, 15},
+		Size:        SizeSpec{Meaning: "connections per second", Max: 500, generated: valueRange{1, 15}},
+		duration:    valueRange{3, 15},
 		OnLoopback:  true,
 	},
 }
 
-// FindFaultSpec returns the description of a fault type, nil if there is no such type.
+// FindFaultSpec returns the spec of a fault type, or nil if the type is unknown.
 func FindFaultSpec(name names.FaultType) *FaultSpec {
 	for i := range FaultSpecs {
 		if FaultSpecs[i].Name == name {
@@ -322,7 +324,7 @@
 	return nil
 }
 
-// FaultTypeNames lists the names of all fault types.
+// FaultTypeNames returns the names of all fault types in the order of FaultSpecs.
 func FaultTypeNames() []string {
 	var list []string
 	for i := range FaultSpecs {
--- a/internal/simulation/scenario/generate.go
+++ b/internal/simulation/scenario/generate.go
@@ -8,23 +8,23 @@
 	"salttrack/internal/simulation/randstream"
 )
 
-// Options of generated scenarios.
+// Options are the parameters of Generate.
 type Options struct {
-	Seconds    float64           // duration of the load; defaultSeconds if 0
-	FaultTypes []names.FaultType // that are drawn; all if empty
+	Seconds    float64           // duration of the load in seconds; 0 means defaultSeconds
+	FaultTypes []names.FaultType // fault types to draw from; empty for all
 }
 
 const (
-	defaultSeconds     = 30
-	meanCostFactor     = 2.35 // mean cost of a request, as a multiple of the cheapest class
-	nestedRequestRate  = 60   // requests a second of clusters with several tiers
-	maxServiceTimeMS   = 60
+	defaultSeconds     = 30   // default duration of the load
+	meanCostFactor     = 2.35 // mean service time of all classes, as a multiple of the service time of the cheapest class
+	nestedRequestRate  = 60   // requests per second in clusters with several tiers
+	maxServiceTimeMS   = 60   // upper limit of Cluster.ServiceTimeMS
 	minGeneratedFaults = 2
 	maxGeneratedFaults = 9
 )
 
-// Generate makes a scenario from a seed: a cluster, and faults that may overlap. The same arguments always give the same
-// scenario.
+// Generate returns the scenario of a seed: a cluster with its load, and faults that may overlap.
+// The same arguments always give the same scenario.
 func Generate(seed uint64, options Options) *Scenario {
 	s := &Scenario{Version: Version, Seed: seed, Seconds: defaultSeconds}
 	if options.Seconds > 0 {
@@ -33,9 +33,10 @@
 	r := randstream.New(seed, names.ScenarioStream)
 	s.Cluster = generateCluster(r)
 	s.Cluster.generateLoad(r)
-	// Deadlines have a stream of their own, so that their draw does not shift the others.
+	// The deadline factor is drawn from a separate stream.
+	// A draw from r here would change every later draw from r, and with it the scenarios of existing seeds.
 	if deadlines := randstream.New(seed, names.ScenarioDeadlineStream); deadlines.Chance(0.4) {
-		s.Cluster.DeadlineFactor = roundMillis(deadlines.Between(0.08, 0.6))
+		s.Cluster.DeadlineFactor = truncateMillis(deadlines.Between(0.08, 0.6))
 	}
 	count := minGeneratedFaults + r.IntN(maxGeneratedFaults-minGeneratedFaults+1)
 	for i := range count {
@@ -45,7 +46,8 @@
 	return s
 }
 
-// generateCluster draws all of a cluster but its load. The order of the draws determines the scenario of each seed.
+// generateCluster draws a cluster without its load.
+// The order of the draws is fixed: another order would change the scenario of each seed.
 func generateCluster(r randstream.Stream) Cluster {
 	c := Cluster{
 		Tiers:               1,
@@ -73,10 +75,11 @@
 	return c
 }
 
-// generateLoad draws the request rate, the number of tiers, and a service time that gives the drawn utilization.
+// generateLoad draws the request rate, the utilization, the cores of an upstream and the number of tiers.
+// It sets the service time that results in the drawn utilization, but to at most maxServiceTimeMS.
 func (c *Cluster) generateLoad(r randstream.Stream) {
 	c.RequestRate = r.Between(60, 160)
-	utilization := r.Between(0.2, 0.9) // fraction of the upstreams' cores, without any fault
+	utilization := r.Between(0.2, 0.9) // of the upstreams' cores, while no fault is active
 	if r.Chance(0.15) {
 		utilization = r.Between(0.9, 1.4)
 	}
@@ -93,17 +96,18 @@
 		c.ServiceTimeMS *= c.RequestRate / nestedRequestRate / float64(max(1, c.NestedCalls))
 		c.RequestRate = nestedRequestRate
 	}
-	c.ServiceTimeMS = min(maxServiceTimeMS, roundMillis(c.ServiceTimeMS))
+	c.ServiceTimeMS = min(maxServiceTimeMS, truncateMillis(c.ServiceTimeMS))
 }
 
-// generateFault draws one fault, of one of the given types, or of any if none is given.
+// generateFault draws one fault of one of the given types, or of any type if types is empty.
+// The parameter number is the index of the fault in the scenario and becomes part of its ID.
 func (s *Scenario) generateFault(r randstream.Stream, number int, types []names.FaultType) Fault {
 	spec := randstream.Choice(r, s.candidates(types))
 	f := Fault{ID: fmt.Sprintf("%s-%d", spec.Name, number), Type: spec.Name}
-	f.StartSeconds = roundMillis(r.Between(0.05, 0.7) * s.Seconds)
-	f.DurationSeconds = roundMillis(r.Between(spec.duration.from, spec.duration.to))
-	f.Size = roundMillis(r.Between(spec.Size.generated.from, spec.Size.generated.to))
-	f.DurationSeconds = min(f.DurationSeconds, roundMillis(s.Seconds-f.StartSeconds))
+	f.StartSeconds = truncateMillis(r.Between(0.05, 0.7) * s.Seconds)
+	f.DurationSeconds = truncateMillis(r.Between(spec.duration.from, spec.duration.to))
+	f.Size = truncateMillis(r.Between(spec.Size.generated.from, spec.Size.generated.to))
+	f.DurationSeconds = min(f.DurationSeconds, truncateMillis(s.Seconds-f.StartSeconds))
 	switch spec.Target {
 	case UpstreamTarget:
 		f.Target = fmt.Sprintf(names.UpstreamName, r.IntN(s.Cluster.Tiers), r.IntN(s.Cluster.Upstreams))
@@ -115,7 +119,8 @@
 	return f
 }
 
-// candidates returns the fault types to draw from, each as often as its weight.
+// candidates returns the fault types to draw from. Each is contained as many times as its weight.
+// If the cluster supports none of the given types, SlowUpstream is the only candidate.
 func (s *Scenario) candidates(types []names.FaultType) []*FaultSpec {
 	var list []*FaultSpec
 	for i := range FaultSpecs {
@@ -127,11 +132,11 @@
 			list = append(list, spec)
 		}
 	}
-	if len(list) == 0 { // none of the given types can be played on this cluster
+	if len(list) == 0 {
 		list = append(list, FindFaultSpec(names.SlowUpstream))
 	}
 	return list
 }
 
-// roundMillis cuts seconds or factors to three decimals, which keeps scenario files short.
-func roundMillis(x float64) float64 { return float64(int(x*1000)) / 1000 }
+// truncateMillis truncates a value to three decimal places, which keeps scenario files short.
+func truncateMillis(x float64) float64 { return float64(int(x*1000)) / 1000 }
--- a/internal/simulation/scenario/parse.go
+++ b/internal/simulation/scenario/parse.go
@@ -14,11 +14,11 @@
 type Error struct {
 	File   string
 	Line   int    // 0 if unknown
-	Path   string // of the value, as in "world.rate" or "fault[2].size"; "" if the file can't be parsed
+	Path   string // path of the invalid value, such as "world.rate" or "fault[2].size"; "" if the text is not valid TOML
 	Reason string
 }
 
-// Error returns file, line, path and reason.
+// Error returns the file, the line, the path and the reason, separated by colons.
 func (e *Error) Error() string {
 	var b strings.Builder
 	b.WriteString(e.File)
@@ -32,7 +32,7 @@
 	return b.String()
 }
 
-// Load reads a scenario file. An invalid one gives an *Error.
+// Load reads and validates a scenario file. It returns an *Error if the scenario is not valid.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,7 +41,8 @@
 	return Parse(path, text)
 }
 
-// Parse decodes and validates a scenario. The file name is used in errors only; an invalid scenario gives an *Error.
+// Parse decodes and validates the text of a scenario file. It returns an *Error if the scenario is not valid.
+// The file name is used in errors only.
 func Parse(file string, text []byte) (*Scenario, error) {
 	var s Scenario
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -55,13 +56,13 @@
 	return &s, nil
 }
 
-// decodeError adds file, line and path to an error of the TOML decoder.
+// decodeError converts an error of the TOML decoder to an *Error with file, line and path.
 func decodeError(file string, err error) *Error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		first := unknown.Errors[0]
 		line, _ := first.Position()
-		return &Error{File: file, Line: line, Path: strings.Join(first.Key(), "."), Reason: "unknown name"}
+		return &Error{File: file, Line: line, Path: strings.Join(first.Key(), "."), Reason: "unknown key"}
 	}
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
@@ -71,7 +72,8 @@
 	return &Error{File: file, Reason: err.Error()}
 }
 
-// lineOf returns the line of a path in a scenario's text, for a fault that of its header. It returns 0 if there is none.
+// lineOf returns the line number of a value in the text of a scenario file, or 0 if the text does not contain its key.
+// For a value of a fault it returns the line of the fault's [[fault]] header.
 func lineOf(text []byte, path string) int {
 	var fault int
 	if _, err := fmt.Sscanf(path, faultPath, &fault); err == nil {
@@ -86,7 +88,8 @@
 	return 0
 }
 
-// faultLine returns the line of a fault's header.
+// faultLine returns the line number of a fault's [[fault]] header, or 0 if there are not so many faults.
+// The parameter fault is the index of the fault.
 func faultLine(text []byte, fault int) int {
 	headers := 0
 	for i, line := range strings.Split(string(text), "\n") {
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -11,7 +11,7 @@
 	"salttrack/internal/simulation/names"
 )
 
-// A marshalled scenario is parsed to the same scenario.
+// TestRoundTrip checks that parsing the text of a marshalled scenario returns an equal scenario.
 func TestRoundTrip(t *testing.T) {
 	for seed := range uint64(200) {
 		s := Generate(seed, Options{})
@@ -25,7 +25,7 @@
 	}
 }
 
-// The same seed and options give the same scenario, with faults of the given types alone.
+// TestGenerate checks that equal arguments give equal scenarios, and that only faults of the given types are generated.
 func TestGenerate(t *testing.T) {
 	if d := cmp.Diff(Generate(5, Options{}), Generate(5, Options{})); d != "" {
 		t.Error(d)
@@ -38,7 +38,7 @@
 	}
 }
 
-// invalidScenarios returns texts that can't be parsed, with the path and the reason of the error.
+// invalidScenarios returns texts of invalid scenarios, with the path of the error and a part of its reason.
 func invalidScenarios() []struct{ name, text, path, reason string } {
 	valid := string(Generate(1, Options{}).Marshal())
 	head, _, _ := strings.Cut(valid, "[[fault]]")
@@ -46,35 +46,35 @@
 	fault := func(lines ...string) string { return head + "[[fault]]\n" + strings.Join(lines, "\n") + "\n" }
 	const start, duration = "at = 1.0", "for = 1.0"
 	return []struct{ name, text, path, reason string }{
-		{"no TOML", "seed = = 3", "", ""},
-		{"unknown name", replace("tiers =", "teirs ="), "world.teirs", "unknown name"},
+		{"not TOML", "seed = = 3", "", ""},
+		{"unknown key", replace("tiers =", "teirs ="), "world.teirs", "unknown key"},
 		{"version", replace("version = 1", "version = 9"), "version", "9 is not within 1 to 1"},
 		{"wrong type", replace("calls = ", "calls = 'x' # "), "world.calls", ""},
 		{"no upstreams", replace("upstreams = 10", "upstreams = 0"), "world.upstreams", "0 is not within 1 to 200"},
-		{"duplicate zone", replace("'west'", "'east'"), "world.zones", `"east" is given twice`},
-		{"zone with a separator", replace("'west'", "'a|b'"), "world.zones", `"a|b" is not a plain word`},
+		{"duplicate zone", replace("'west'", "'east'"), "world.zones", `zone "east" is listed twice`},
+		{"zone with a separator", replace("'west'", "'a|b'"), "world.zones", `"a|b" is empty or contains a comma, a slash, a space or "|"`},
 		{"unknown fault type", fault("id = 'a'", "kind = 'quake'", start, duration),
 			"fault[0].kind", `unknown fault type "quake"; allowed are slow,`},
 		{"no id", fault("id = ''", "kind = 'hup'", start, duration, "target = 'b0'"),
-			"fault[0].id", `"" is empty`},
+			"fault[0].id", `ID "" is empty`},
 		{"start after the end of the load", fault("id = 'a'", "kind = 'hup'", "at = 31.0", duration, "target = 'b0'"),
-			"fault[0].at", "31 is not within the 30 s"},
-		{"start is no number", fault("id = 'a'", "kind = 'errors'", "at = nan", duration, "target = 'u0-1'"),
+			"fault[0].at", "31 is not within the load of 30 s"},
+		{"start is not a number", fault("id = 'a'", "kind = 'errors'", "at = nan", duration, "target = 'u0-1'"),
 			"fault[0].at", "NaN"},
 		{"size", fault("id = 'a'", "kind = 'errors'", start, duration, "target = 'u0-1'", "size = 2.0"),
-			"fault[0].size", "2 is not within 0 to 1 (fraction)"},
+			"fault[0].size", "2 is not within 0 to 1 (fraction of requests)"},
 		{"unknown upstream", fault("id = 'a'", "kind = 'hang'", start, duration, "target = 'u0-99'"),
 			"fault[0].target", "allowed are u0-0 to u"},
 		{"unknown balancer", fault("id = 'a'", "kind = 'kill'", start, duration, "target = 'u0-1'"),
 			"fault[0].target", "allowed are b0 to b2"},
 		{"unknown zone", fault("id = 'a'", "kind = 'cut'", start, duration, "target = 'east|moon'"),
-			"fault[0].target", "is no pair of zones"},
-		{"target of a fault without one", fault("id = 'a'", "kind = 'surge'", start, duration, "target = 'b0'", "size = 2.0"),
+			"fault[0].target", "is not a pair of zones"},
+		{"fault type without a target", fault("id = 'a'", "kind = 'surge'", start, duration, "target = 'b0'", "size = 2.0"),
 			"fault[0].target", "takes no target"},
 	}
 }
 
-// An invalid scenario gives an error with file, path and reason.
+// TestParseError checks that Parse returns an error with file, path and reason for an invalid scenario.
 func TestParseError(t *testing.T) {
 	for _, tt := range invalidScenarios() {
 		_, err := Parse("x.toml", []byte(tt.text))
@@ -92,7 +92,7 @@
 	}
 }
 
-// An error gives the line of the value, for a fault that of its header.
+// TestErrorLine checks that an error has the line of the invalid value, or the line of the [[fault]] header for a fault.
 func TestErrorLine(t *testing.T) {
 	head, _, _ := strings.Cut(string(Generate(1, Options{}).Marshal()), "[[fault]]")
 	for _, tt := range []struct {
@@ -111,14 +111,14 @@
 	}
 }
 
-// A file that can't be read gives the error of the file system.
+// TestLoadMissingFile checks that Load returns the error of the file system for a file that does not exist.
 func TestLoadMissingFile(t *testing.T) {
 	if _, err := Load("/nowhere/x.toml"); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("%v, want %v", err, fs.ErrNotExist)
 	}
 }
 
-// A text that can be parsed gives a scenario that can be marshalled and parsed again.
+// FuzzParse checks that each scenario that Parse returns can be marshalled and parsed again, without a change.
 func FuzzParse(f *testing.F) {
 	f.Add(Generate(1, Options{}).Marshal())
 	f.Add(Generate(394, Options{Seconds: 3}).Marshal())
--- a/internal/simulation/scenario/target.go
+++ b/internal/simulation/scenario/target.go
@@ -8,10 +8,10 @@
 	"salttrack/internal/simulation/names"
 )
 
-// TargetKind tells what a fault type applies to.
+// TargetKind is the kind of target that a fault type has.
 type TargetKind uint8
 
-// The target kinds.
+// All kinds of targets. Fault types with NoTarget affect the whole cluster.
 const (
 	NoTarget TargetKind = iota
 	UpstreamTarget
@@ -19,25 +19,27 @@
 	ZonePairTarget
 )
 
-// zonePairSeparator separates the zones of a target.
+// zonePairSeparator separates the two zones in Fault.Target.
 const zonePairSeparator = "|"
 
-// Upstream returns the tier and the number of the upstream that a fault applies to.
+// Upstream returns the tier and the number of the upstream that is the target of the fault.
+// It returns an error if the target does not have the form of an upstream's name.
 func (f *Fault) Upstream() (tier, number int, err error) {
 	_, err = fmt.Sscanf(f.Target, names.UpstreamName, &tier, &number)
 	return tier, number, err
 }
 
-// Balancer returns the number of the balancer that a fault applies to.
+// Balancer returns the number of the balancer that is the target of the fault.
+// It returns an error if the target does not have the form of a balancer's name.
 func (f *Fault) Balancer() (number int, err error) {
 	_, err = fmt.Sscanf(f.Target, names.BalancerName, &number)
 	return number, err
 }
 
-// Zones returns the two zones that a fault applies to; ok is false if the target is no pair.
+// Zones returns the two zones that are the target of the fault. If the target has no separator, ok is false.
 func (f *Fault) Zones() (a, b string, ok bool) { return strings.Cut(f.Target, zonePairSeparator) }
 
-// checkTarget returns why a fault's target is not valid, "" if it is.
+// checkTarget returns the reason why the target of a fault is invalid, or "" if it is valid.
 func (c *Cluster) checkTarget(f *Fault, kind TargetKind) string {
 	switch kind {
 	case UpstreamTarget:
@@ -56,7 +58,7 @@
 func (c *Cluster) checkUpstream(f *Fault) string {
 	tier, number, err := f.Upstream()
 	if err != nil || tier < 0 || tier >= c.Tiers || number < 0 || number >= c.Upstreams {
-		return fmt.Sprintf("%q is no upstream; allowed are u0-0 to u%d-%d", f.Target, c.Tiers-1, c.Upstreams-1)
+		return fmt.Sprintf("%q is not an upstream; allowed are u0-0 to u%d-%d", f.Target, c.Tiers-1, c.Upstreams-1)
 	}
 	return ""
 }
@@ -64,7 +66,7 @@
 func (c *Cluster) checkBalancer(f *Fault) string {
 	number, err := f.Balancer()
 	if err != nil || number < 0 || number >= c.Balancers {
-		return fmt.Sprintf("%q is no balancer; allowed are b0 to b%d", f.Target, c.Balancers-1)
+		return fmt.Sprintf("%q is not a balancer; allowed are b0 to b%d", f.Target, c.Balancers-1)
 	}
 	return ""
 }
@@ -72,7 +74,7 @@
 func (c *Cluster) checkZonePair(f *Fault) string {
 	a, b, ok := f.Zones()
 	if !ok || a == b || !slices.Contains(c.Zones, a) || !slices.Contains(c.Zones, b) {
-		return fmt.Sprintf("%q is no pair of zones; give two of %s, separated by %s", f.Target,
+		return fmt.Sprintf("%q is not a pair of zones; allowed are two of %s, separated by %q", f.Target,
 			strings.Join(c.Zones, ", "), zonePairSeparator)
 	}
 	return ""
--- a/internal/simulation/scenario/validate.go
+++ b/internal/simulation/scenario/validate.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Limits of a scenario.
+// Upper limits of the values in a scenario.
 const (
 	maxSeconds     = 600
 	maxTiers       = 3
@@ -18,16 +18,16 @@
 	maxFaults      = 100
 )
 
-// faultPath is the path of a fault, by its number.
+// faultPath is the format of the path of a fault. It takes the index of the fault.
 const faultPath = "fault[%d]"
 
-// invalidValue is a value that can't be played.
+// invalidValue describes an invalid value in a scenario.
 type invalidValue struct {
-	path   string
-	reason string
+	path   string // path of the value, such as "world.rate"
+	reason string // what is wrong with the value
 }
 
-// validate returns the first value that can't be played, nil if there is none.
+// validate returns the first invalid value of the scenario, or nil if all values are valid.
 func (s *Scenario) validate() *invalidValue {
 	for _, check := range []func() *invalidValue{s.checkRanges, s.checkZones, s.checkFaults} {
 		if invalid := check(); invalid != nil {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// checkRanges checks all numbers outside the faults.
+// checkRanges checks that all numbers are in their allowed ranges, except for those of the faults.
 func (s *Scenario) checkRanges() *invalidValue {
 	c := &s.Cluster
 	for _, number := range []struct {
@@ -72,27 +72,27 @@
 			return &invalidValue{number.path, fmt.Sprintf("%g is not within %g to %g", number.value, number.min, number.max)}
 		}
 	}
-	if s.Seed > math.MaxInt64 { // TOML integers are signed
+	if s.Seed > math.MaxInt64 { // integers in TOML are signed and have 64 bits
 		return &invalidValue{"seed", fmt.Sprintf("%d is greater than %d", s.Seed, int64(math.MaxInt64))}
 	}
 	return nil
 }
 
-// within reports whether a value lies in a range; NaN does not.
+// within reports whether a value is in a closed range. NaN is in no range.
 func within(value, lowest, highest float64) bool { return value >= lowest && value <= highest }
 
 func (s *Scenario) checkZones() *invalidValue {
 	const path = "world.zones"
 	zones := s.Cluster.Zones
 	if len(zones) < 1 || len(zones) > maxZones {
-		return &invalidValue{path, fmt.Sprintf("%d zones are not within 1 to %d", len(zones), maxZones)}
+		return &invalidValue{path, fmt.Sprintf("%d zones; allowed are 1 to %d", len(zones), maxZones)}
 	}
 	for i, zone := range zones {
 		if zone == "" || strings.ContainsAny(zone, ",|/ ") {
-			return &invalidValue{path, fmt.Sprintf("%q is not a plain word", zone)}
+			return &invalidValue{path, fmt.Sprintf("%q is empty or contains a comma, a slash, a space or \"|\"", zone)}
 		}
 		if slices.Contains(zones[:i], zone) {
-			return &invalidValue{path, fmt.Sprintf("%q is given twice", zone)}
+			return &invalidValue{path, fmt.Sprintf("zone %q is listed twice", zone)}
 		}
 	}
 	return nil
@@ -100,16 +100,16 @@
 
 func (s *Scenario) checkFaults() *invalidValue {
 	if len(s.Faults) > maxFaults {
-		return &invalidValue{fmt.Sprintf(faultPath, maxFaults), fmt.Sprintf("%d faults are more than %d", len(s.Faults), maxFaults)}
+		return &invalidValue{fmt.Sprintf(faultPath, maxFaults), fmt.Sprintf("%d faults; at most %d are allowed", len(s.Faults), maxFaults)}
 	}
-	seen := map[string]bool{}
+	usedIDs := map[string]bool{}
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		path := fmt.Sprintf(faultPath, i)
-		if f.ID == "" || seen[f.ID] {
-			return &invalidValue{path + ".id", fmt.Sprintf("%q is empty or used by another fault", f.ID)}
+		if f.ID == "" || usedIDs[f.ID] {
+			return &invalidValue{path + ".id", fmt.Sprintf("ID %q is empty or used by another fault", f.ID)}
 		}
-		seen[f.ID] = true
+		usedIDs[f.ID] = true
 		if key, reason := s.checkFault(f); reason != "" {
 			return &invalidValue{path + "." + key, reason}
 		}
@@ -117,17 +117,18 @@
 	return nil
 }
 
-// checkFault returns the key of a fault's first value that is not valid, and why; the reason is "" if all are valid.
+// checkFault returns the TOML key of the first invalid value of a fault, and the reason why it is invalid.
+// The reason is "" if all values are valid.
 func (s *Scenario) checkFault(f *Fault) (key, reason string) {
 	spec := FindFaultSpec(f.Type)
 	if spec == nil {
 		return "kind", fmt.Sprintf("unknown fault type %q; allowed are %s", f.Type, strings.Join(FaultTypeNames(), ", "))
 	}
 	if !within(f.StartSeconds, 0, s.Seconds) {
-		return "at", fmt.Sprintf("%g is not within the %g s of the run", f.StartSeconds, s.Seconds)
+		return "at", fmt.Sprintf("%g is not within the load of %g s", f.StartSeconds, s.Seconds)
 	}
 	if !within(f.DurationSeconds, 0, maxSeconds) {
-		return "for", fmt.Sprintf("%g is not within 0 to %d", f.DurationSeconds, maxSeconds)
+		return "for", fmt.Sprintf("%g is not within 0 to %d seconds", f.DurationSeconds, maxSeconds)
 	}
 	if !within(f.Size, spec.Size.Min, spec.Size.Max) {
 		return "size", fmt.Sprintf("%g is not within %g to %g (%s)", f.Size, spec.Size.Min, spec.Size.Max, spec.Size.Meaning)
