--- a/cmd/salttrack-sim/kinds.go
+++ b/cmd/salttrack-sim/kinds.go
@@ -8,8 +8,8 @@
 	"salttrack/internal/simulation/scenario"
 )
 
-// targetNames tell how a target of each kind is given.
-var targetNames = map[scenario.TargetKind]string{
+// targetFormats has the format of Fault.Target for each kind of target, as the command prints it.
+var targetFormats = map[scenario.TargetKind]string{
 	scenario.NoTarget:       "",
 	scenario.UpstreamTarget: "upstream",
 	scenario.BalancerTarget: "balancer",
@@ -27,7 +27,7 @@
 			output := command.OutOrStdout()
 			fmt.Fprintf(output, row, "KIND", "TARGET", "SIZE", "WHAT HAPPENS")
 			for _, spec := range scenario.FaultSpecs {
-				fmt.Fprintf(output, row, spec.Name, targetNames[spec.Target], spec.Size.Meaning, spec.Description)
+				fmt.Fprintf(output, row, spec.Name, targetFormats[spec.Target], spec.Size.Meaning, spec.Description)
 			}
 			return nil
 		},
--- a/cmd/salttrack-sim/main.go
+++ b/cmd/salttrack-sim/main.go
@@ -1,4 +1,4 @@
-// Salttrack-sim is the simulator: it plays balancers on a virtual clock against faults.
+// Salttrack-sim runs balancers on a virtual clock and a virtual network, injects faults, and checks the runs against rules.
 package main
 
 import (
@@ -13,14 +13,16 @@
 // Exit codes.
 const (
 	exitOK        = 0
-	exitViolation = 1 // a rule was violated, or a scenario did not do what was asked for
-	exitUsage     = 2 // the command line or a scenario is not valid
+	exitViolation = 1 // a rule was violated, the simulator itself failed during real, or shrink found no violation
+	exitError     = 2 // any other error, such as an invalid command line or scenario
 )
 
-// gcPercent is the target of the garbage collector: a run holds a few MB and allocates much that is released soon.
+// gcPercent is the garbage collection target, as for GOGC.
+// A run has a live heap of a few MB and allocates many objects that live for a short time.
 const gcPercent = 400
 
-// violationError ends a command with exitViolation. Its message is "" if the output has reported the violations.
+// violationError is returned by a command that ends with exitViolation.
+// The message is printed on standard error. It is "" if the command has already printed the violations.
 type violationError struct{ message string }
 
 func (e *violationError) Error() string { return e.message }
@@ -41,7 +43,7 @@
 	var violation *violationError
 	if !errors.As(err, &violation) {
 		fmt.Fprintln(os.Stderr, "salttrack-sim: "+err.Error())
-		return exitUsage
+		return exitError
 	}
 	if violation.message != "" {
 		fmt.Fprintln(os.Stderr, "salttrack-sim: "+violation.message)
@@ -52,12 +54,15 @@
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "salttrack-sim",
-		Short: "Plays balancers on a virtual clock against faults",
+		Short: "Simulate balancers under faults on a virtual clock",
 		Long: `Salttrack-sim runs the balancer's own code on a virtual clock and a virtual network, with fake clients, upstreams
-and discovery, against faults that are generated from a seed or given in a scenario file, and checks what passes
-against the rules.
+and discovery. It injects faults that are generated from a seed or given in a scenario file, and checks all requests
+and responses against a set of rules.
 
-Exit status: 0 no rule violated, 1 a rule was violated or a scenario did not do what was asked, 2 invalid usage.`,
+Exit status:
+  0  no rule was violated
+  1  a rule was violated, the simulator itself failed during real, or shrink got a scenario that violates no rule
+  2  any other error, such as an invalid command line or scenario file`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/salttrack-sim/main_test.go
+++ b/cmd/salttrack-sim/main_test.go
@@ -35,7 +35,7 @@
 	return string(text)
 }
 
-// expectExitCodes executes command lines and compares their exit codes.
+// expectExitCodes executes command lines and checks their exit codes. The keys of tests are the arguments.
 func expectExitCodes(t *testing.T, tests map[string]int) {
 	t.Helper()
 	silenceStdout(t)
@@ -46,7 +46,7 @@
 	}
 }
 
-// Each command line has the exit code that the help describes.
+// TestExitCodes checks that command lines have the exit codes that the help describes.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	invalid := filepath.Join(dir, "invalid.toml")
@@ -59,24 +59,24 @@
 		"--help":               exitOK,
 		"sim --help":           exitOK,
 		"kinds":                exitOK,
-		"replay " + invalid:    exitUsage,
-		"replay /nowhere.toml": exitUsage,
-		"replay":               exitUsage,
-		"sim --faults quake":   exitUsage,
-		"sim --seeds 0":        exitUsage,
-		"sim --seeds x":        exitUsage,
-		"sim --trace t":        exitUsage,
-		"simulate":             exitUsage,
+		"replay " + invalid:    exitError,
+		"replay /nowhere.toml": exitError,
+		"replay":               exitError,
+		"sim --faults quake":   exitError,
+		"sim --seeds 0":        exitError,
+		"sim --seeds x":        exitError,
+		"sim --trace t":        exitError,
+		"simulate":             exitError,
 		"sim --seed 4 --seconds 1 --save " + valid: exitOK,
 	})
 	expectExitCodes(t, map[string]int{
-		"shrink " + valid:                       exitViolation, // it violates no rule
-		"shrink " + valid + " --rule nonsense":  exitUsage,
-		"real " + valid + " --program /nowhere": exitUsage,
+		"shrink " + valid:                       exitViolation, // the scenario violates no rule
+		"shrink " + valid + " --rule nonsense":  exitError,
+		"real " + valid + " --program /nowhere": exitError,
 	})
 }
 
-// A search writes a report.
+// TestSearchReport checks the report that sim writes with --json.
 func TestSearchReport(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	expectExitCodes(t, map[string]int{"sim --seeds 3 --seconds 1 --json " + path: exitOK})
@@ -87,7 +87,7 @@
 	}
 }
 
-// A saved scenario gives the same result as its seed, and the trace shows its responses.
+// TestReplay checks that a saved scenario has the same result as its seed, and that the trace contains responses.
 func TestReplay(t *testing.T) {
 	dir := t.TempDir()
 	saved := filepath.Join(dir, "4.toml")
@@ -99,17 +99,18 @@
 	})
 	expectExitCodes(t, map[string]int{"replay " + saved + " --json " + second: exitOK})
 	if readFile(t, first) != readFile(t, second) {
-		t.Error("a saved scenario has another result than its seed")
+		t.Error("the result of the saved scenario differs from the result of its seed")
 	}
 	if !strings.Contains(readFile(t, trace), "HTTP/1.1 200 OK") {
-		t.Error("the trace shows no response")
+		t.Error("the trace contains no response")
 	}
 	if _, err := scenario.Load(saved); err != nil {
 		t.Error(err)
 	}
 }
 
-// The scenarios of the repository can be played on loopback sockets too, and violate no rule.
+// TestShippedScenarios checks that the scenarios in deploy/lab violate no rule, that at least 90 percent of their requests are
+// served, and that all their fault types can run on loopback sockets.
 func TestShippedScenarios(t *testing.T) {
 	files, _ := filepath.Glob("../../deploy/lab/*.toml")
 	if len(files) < 2 {
@@ -123,7 +124,7 @@
 		}
 		for _, f := range s.Faults {
 			if !scenario.FindFaultSpec(f.Type).OnLoopback {
-				t.Errorf("%s: fault type %s can't be played on loopback sockets", file, f.Type)
+				t.Errorf("%s: fault type %s can't run on loopback sockets", file, f.Type)
 			}
 		}
 		result := cluster.Play(s, cluster.Options{})
--- a/cmd/salttrack-sim/output.go
+++ b/cmd/salttrack-sim/output.go
@@ -7,13 +7,14 @@
 	"os"
 )
 
-// standardOutput is the path that stands for standard output.
+// standardOutput is the path in a flag that selects standard output instead of a file.
 const standardOutput = "-"
 
-// outputMode is the mode of files that are written.
+// outputMode is the permission of the files that commands write.
 const outputMode = 0o644
 
-// writeJSON writes a value to a file or to standard output; an empty path writes nothing.
+// writeJSON writes a value as JSON to the file at path, or to output if path is standardOutput.
+// It writes nothing if path is empty.
 func writeJSON(output io.Writer, path string, value any) error {
 	if path == "" {
 		return nil
@@ -30,7 +31,8 @@
 	return os.WriteFile(path, text, outputMode)
 }
 
-// progress is a line on standard error that is overwritten. It shows nothing if that is no terminal.
+// progress shows a status line on standard error, which each call of show overwrites.
+// If standard error is not a terminal, progress writes nothing.
 type progress struct{ terminal bool }
 
 func newProgress() *progress {
@@ -38,7 +40,7 @@
 	return &progress{terminal: err == nil && info.Mode()&os.ModeCharDevice != 0}
 }
 
-// clearLine returns to the start of the line and clears it.
+// clearLine is the terminal control sequence that moves the cursor to the start of the line and clears the line.
 const clearLine = "\r\x1b[K"
 
 func (p *progress) show(format string, args ...any) {
--- a/cmd/salttrack-sim/real.go
+++ b/cmd/salttrack-sim/real.go
@@ -12,17 +12,17 @@
 	"salttrack/internal/simulation/scenario"
 )
 
-// realRunOverheadSeconds is how much longer than its load a run on loopback sockets takes.
+// realRunOverheadSeconds is the estimated duration of a run on loopback sockets without the duration of its load.
 const realRunOverheadSeconds = 6
 
 func newRealCommand() *cobra.Command {
 	var program, jsonPath string
 	command := &cobra.Command{
 		Use:   "real SCENARIO",
-		Short: "Play a scenario with real processes on loopback sockets, beside a virtual run of it",
-		Long: `Real plays a scenario twice: on the virtual network, and with processes of the balancer's program on loopback
-addresses, in real time. It shows both results, and the CPU time of the real balancers.
-Faults of the network and of CPUs can be played on the virtual network only.`,
+		Short: "Run a scenario with real processes on loopback sockets, and compare it with a virtual run",
+		Long: `Real runs a scenario twice: on the virtual network, and in real time with processes of the balancer's program on
+loopback addresses. It shows the results of both runs, and the CPU time of the real balancers.
+Faults of the network and of CPUs can be simulated on the virtual network only.`,
 		Example: `  salttrack-sim real deploy/lab/calm.toml --program bin/salttrack`,
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -33,25 +33,25 @@
 			if _, err := os.Stat(program); err != nil {
 				return fmt.Errorf("--program: %w", err)
 			}
-			return playReal(command.OutOrStdout(), s, program, jsonPath)
+			return compareRuns(command.OutOrStdout(), s, program, jsonPath)
 		},
 	}
-	command.Flags().StringVar(&program, "program", "bin/salttrack", "the balancer's program")
+	command.Flags().StringVar(&program, "program", "bin/salttrack", "path of the balancer's program")
 	command.Flags().StringVar(&jsonPath, "json", "", "write both results to a file, - for standard output")
 	return command
 }
 
-// realReport is what --json writes.
+// realReport is the content of the file that real writes with --json.
 type realReport struct {
 	Real    *cluster.LoopbackResult `json:"real"`
 	Virtual *cluster.Result         `json:"virtual"`
 }
 
-// playReal plays a scenario on the virtual network and on loopback sockets, and writes both results.
-func playReal(output io.Writer, s *scenario.Scenario, program, jsonPath string) error {
+// compareRuns runs a scenario on the virtual network and on loopback sockets, and writes both results.
+func compareRuns(output io.Writer, s *scenario.Scenario, program, jsonPath string) error {
 	virtual := cluster.Play(s, cluster.Options{})
 	p := newProgress()
-	p.show("virtual run done, the real one takes %.0f s\n", s.Seconds+realRunOverheadSeconds)
+	p.show("virtual run finished; the run on loopback sockets takes about %.0f s\n", s.Seconds+realRunOverheadSeconds)
 	loopback, err := cluster.PlayLoopback(s, program)
 	if err != nil {
 		return err
@@ -69,11 +69,12 @@
 	return nil
 }
 
+// violations returns the violations of both runs.
 func (r *realReport) violations() []checker.Violation {
 	return append(r.Virtual.Violations[:len(r.Virtual.Violations):len(r.Virtual.Violations)], r.Real.Violations...)
 }
 
-// write writes both results as a table.
+// write writes both results as a table, then the CPU time, the violations and the errors of the simulator itself.
 func (r *realReport) write(output io.Writer) {
 	fmt.Fprintf(output, "%-9s %8s %8s %8s %8s %9s %9s\n", "", "asked", "served", "refused", "failed", "no answer", "attempts")
 	writeCounts(output, "virtual", r.Virtual.Counts)
@@ -83,11 +84,11 @@
 		fmt.Fprintln(output, violation)
 	}
 	for _, message := range r.Real.EnvironmentErrors {
-		fmt.Fprintln(output, "simulator:", message)
+		fmt.Fprintln(output, "simulator error:", message)
 	}
 }
 
-// writeCounts writes the outcomes of a run as percentages of its requests.
+// writeCounts writes a row of the table: the number of requests, the outcomes as percentages of it, and the number of attempts.
 func writeCounts(output io.Writer, name string, counts checker.Counts) {
 	percent := func(n int) string {
 		return fmt.Sprintf("%.2f%%", 100*float64(n)/float64(max(1, counts.Requests)))
--- a/cmd/salttrack-sim/replay.go
+++ b/cmd/salttrack-sim/replay.go
@@ -13,14 +13,14 @@
 	"salttrack/internal/simulation/scenario"
 )
 
-// traceBufferBytes is the size of the trace's buffer.
+// traceBufferBytes is the size of the write buffer of the trace file.
 const traceBufferBytes = 1 << 20
 
 func newReplayCommand() *cobra.Command {
 	var tracePath, jsonPath string
 	command := &cobra.Command{
 		Use:     "replay SCENARIO",
-		Short:   "Play a scenario file",
+		Short:   "Run a scenario file",
 		Example: `  salttrack-sim replay deploy/lab/calm.toml --trace trace.txt`,
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
@@ -29,17 +29,17 @@
 				return err
 			}
 			invariant.PanicOnViolation()
-			return playScenario(command.OutOrStdout(), s, tracePath, jsonPath)
+			return runScenario(command.OutOrStdout(), s, tracePath, jsonPath)
 		},
 	}
-	command.Flags().StringVar(&tracePath, "trace", "", "write all events on the network to a file")
+	command.Flags().StringVar(&tracePath, "trace", "", "write all network events and the balancers' logs to a file")
 	command.Flags().StringVar(&jsonPath, "json", "", "write the result to a file, - for standard output")
 	return command
 }
 
-// playScenario plays a scenario and writes its result.
-func playScenario(output io.Writer, s *scenario.Scenario, tracePath, jsonPath string) error {
-	result, err := playTraced(s, tracePath)
+// runScenario runs a scenario and writes its result.
+func runScenario(output io.Writer, s *scenario.Scenario, tracePath, jsonPath string) error {
+	result, err := runTraced(s, tracePath)
 	if err != nil {
 		return err
 	}
@@ -55,8 +55,9 @@
 	return nil
 }
 
-// playTraced plays a scenario and writes its trace and the balancers' logs to a file; an empty path writes nothing.
-func playTraced(s *scenario.Scenario, tracePath string) (*cluster.Result, error) {
+// runTraced runs a scenario, and writes its trace and the balancers' logs to the file at tracePath.
+// If tracePath is empty, it writes neither.
+func runTraced(s *scenario.Scenario, tracePath string) (*cluster.Result, error) {
 	var options cluster.Options
 	if tracePath != "" {
 		file, err := os.Create(tracePath)
@@ -73,7 +74,7 @@
 	return &result, nil
 }
 
-// writeResult writes the faults of a scenario and its result as text.
+// writeResult writes the faults of a scenario and the result of its run as text.
 func writeResult(output io.Writer, s *scenario.Scenario, result *cluster.Result) {
 	for _, f := range s.Faults {
 		fmt.Fprintf(output, "%-12s %-16s from %6.2f s for %5.2f s size %g\n", f.Type, f.Target, f.StartSeconds,
--- a/cmd/salttrack-sim/shrink.go
+++ b/cmd/salttrack-sim/shrink.go
@@ -20,14 +20,14 @@
 type shrinkFlags struct {
 	outputPath string
 	rule       string
-	maxPlays   int
+	maxRuns    int
 }
 
 func newShrinkCommand() *cobra.Command {
 	flags := &shrinkFlags{}
 	command := &cobra.Command{
 		Use:   "shrink SCENARIO",
-		Short: "Make a scenario that violates a rule smaller while it violates the same rule",
+		Short: "Reduce a scenario that violates a rule to a smaller one that violates the same rule",
 		Example: `  salttrack-sim sim --seed 17 --save 17.toml
   salttrack-sim shrink 17.toml --out small.toml`,
 		Args: cobra.ExactArgs(1),
@@ -36,13 +36,13 @@
 		},
 	}
 	set := command.Flags()
-	set.StringVar(&flags.outputPath, "out", "", "write the smaller scenario to a file (standard output if not given)")
-	set.StringVar(&flags.rule, "rule", "", "the rule that has to stay violated (the first one that is, if not given)")
-	set.IntVar(&flags.maxPlays, "tries", 400, "maximum number of scenarios to play")
+	set.StringVar(&flags.outputPath, "out", "", "write the smaller scenario to a file (default standard output)")
+	set.StringVar(&flags.rule, "rule", "", "rule that the smaller scenario has to violate (default the first rule that SCENARIO violates)")
+	set.IntVar(&flags.maxRuns, "tries", 400, "maximum number of scenarios to run")
 	return command
 }
 
-// shrink shrinks a scenario file.
+// shrink shrinks the scenario in the file at path, and writes the smaller one.
 func (f *shrinkFlags) shrink(output io.Writer, path string) error {
 	s, err := scenario.Load(path)
 	if err != nil {
@@ -61,9 +61,9 @@
 		return &violationError{fmt.Sprintf("%s does not violate rule %q: nothing to shrink", path, rule)}
 	}
 	p := newProgress()
-	smallest, plays := seedsearch.Shrink(s, seedsearch.ShrinkOptions{
-		Rule:     rule,
-		MaxPlays: f.maxPlays,
+	smallest, runs := seedsearch.Shrink(s, seedsearch.ShrinkOptions{
+		Rule:    rule,
+		MaxRuns: f.maxRuns,
 		OnSmaller: func(smaller *scenario.Scenario) {
 			p.show("%d faults, %.1f s", len(smaller.Faults), smaller.Seconds)
 		},
@@ -72,12 +72,12 @@
 	if err := f.write(output, smallest.Marshal()); err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "rule %s: %d of %d faults, %.1f of %.1f s left after %d plays\n", rule, len(smallest.Faults),
-		len(s.Faults), smallest.Seconds, s.Seconds, plays)
+	fmt.Fprintf(os.Stderr, "rule %s: %d of %d faults, %.1f of %.1f s left after %d runs\n", rule, len(smallest.Faults),
+		len(s.Faults), smallest.Seconds, s.Seconds, runs)
 	return nil
 }
 
-// write writes the smaller scenario.
+// write writes the text of the smaller scenario to the file of --out, or to output.
 func (f *shrinkFlags) write(output io.Writer, text []byte) error {
 	if f.outputPath != "" {
 		return os.WriteFile(f.outputPath, text, outputMode)
--- a/cmd/salttrack-sim/sim.go
+++ b/cmd/salttrack-sim/sim.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	minSeconds = 1
-	maxSeconds = 600
+	minSeconds = 1   // lower limit of --seconds
+	maxSeconds = 600 // upper limit of --seconds
 
-	// progressInterval is after how many seeds the progress is shown.
+	// progressInterval is the number of seeds between two updates of the progress line.
 	progressInterval = 10
 )
 
@@ -41,7 +41,7 @@
 	flags := &simFlags{}
 	command := &cobra.Command{
 		Use:   "sim",
-		Short: "Play scenarios that are generated from seeds, and check them against the rules",
+		Short: "Run scenarios that are generated from seeds, and check them against the rules",
 		Example: `  salttrack-sim sim --seeds 1000
   salttrack-sim sim --seeds 200 --first 5000 --faults cut,deploy,kill --json found.json
   salttrack-sim sim --seed 17 --trace trace.txt --save 17.toml`,
@@ -52,30 +52,31 @@
 			}
 			invariant.PanicOnViolation()
 			if command.Flags().Changed("seed") {
-				return flags.playSeed(command.OutOrStdout())
+				return flags.runSeed(command.OutOrStdout())
 			}
-			return flags.playSeeds(command.OutOrStdout())
+			return flags.runSeeds(command.OutOrStdout())
 		},
 	}
 	flags.register(command)
 	return command
 }
 
+// register adds the flags to the command.
 func (f *simFlags) register(command *cobra.Command) {
 	set := command.Flags()
 	set.IntVar(&f.search.Seeds, "seeds", 100, "number of seeds")
 	set.Uint64Var(&f.search.FirstSeed, "first", 1, "first seed")
-	set.IntVar(&f.search.Concurrency, "jobs", 0, "number of seeds played at a time (0: number of cores)")
+	set.IntVar(&f.search.Concurrency, "jobs", 0, "number of seeds that run concurrently (0: GOMAXPROCS)")
 	set.StringSliceVar(&f.faultTypes, "faults", nil, "generate only faults of these types (see salttrack-sim kinds)")
 	set.Float64Var(&f.search.Scenario.Seconds, "seconds", 30, "duration of the load in virtual seconds")
-	set.Uint64Var(&f.seed, "seed", 0, "play this one seed")
-	set.StringVar(&f.tracePath, "trace", "", "with --seed: write all events on the network to a file")
+	set.Uint64Var(&f.seed, "seed", 0, "run only this seed")
+	set.StringVar(&f.tracePath, "trace", "", "with --seed: write all network events and the balancers' logs to a file")
 	set.StringVar(&f.savePath, "save", "", "with --seed: write the scenario to a file")
-	set.StringVar(&f.jsonPath, "json", "", "write the summary and all violations to a file, - for standard output")
-	set.BoolVar(&f.stopAtViolation, "stop", false, "stop at the first violation")
+	set.StringVar(&f.jsonPath, "json", "", "write the summary and the results with violations to a file, - for standard output")
+	set.BoolVar(&f.stopAtViolation, "stop", false, "stop after the first seed that violates a rule")
 }
 
-// validate checks the flags and sets the fault types.
+// validate checks the flags, and stores the fault types of --faults in the search options.
 func (f *simFlags) validate() error {
 	for _, name := range f.faultTypes {
 		faultType := names.FaultType(name)
@@ -86,26 +87,26 @@
 	}
 	seconds := f.search.Scenario.Seconds
 	if f.search.Seeds < 1 || f.search.Concurrency < 0 || seconds < minSeconds || seconds > maxSeconds {
-		return fmt.Errorf("--seeds has to be at least 1, --jobs at least 0, --seconds within %d to %d", minSeconds, maxSeconds)
+		return fmt.Errorf("--seeds must be at least 1, --jobs at least 0, and --seconds from %d to %d", minSeconds, maxSeconds)
 	}
 	return nil
 }
 
-// playSeed plays one seed.
-func (f *simFlags) playSeed(output io.Writer) error {
+// runSeed runs the scenario of --seed.
+func (f *simFlags) runSeed(output io.Writer) error {
 	s := scenario.Generate(f.seed, f.search.Scenario)
 	if f.savePath != "" {
 		if err := os.WriteFile(f.savePath, s.Marshal(), outputMode); err != nil {
 			return err
 		}
 	}
-	return playScenario(output, s, f.tracePath, f.jsonPath)
+	return runScenario(output, s, f.tracePath, f.jsonPath)
 }
 
-// playSeeds plays all seeds.
-func (f *simFlags) playSeeds(output io.Writer) error {
+// runSeeds runs the scenarios of all seeds of the search.
+func (f *simFlags) runSeeds(output io.Writer) error {
 	if f.tracePath != "" || f.savePath != "" {
-		return errors.New("--trace and --save need --seed")
+		return errors.New("--trace and --save can be used with --seed only")
 	}
 	r := &searchReporter{flags: f, output: output, progress: newProgress()}
 	f.search.OnResult = r.onResult
@@ -123,24 +124,24 @@
 	return nil
 }
 
-// searchReport is what --json writes.
+// searchReport is the content of the file that sim writes with --json.
 type searchReport struct {
 	seedsearch.Summary
-	Found []cluster.Result `json:"found"` // the results with violations
+	Found []cluster.Result `json:"found"` // results with violations
 }
 
-// searchReporter reports the results of a search.
+// searchReporter prints the progress and the violations of a search, and collects the results with violations.
 type searchReporter struct {
 	flags     *simFlags
 	output    io.Writer
 	progress  *progress
-	played    int
-	violating []cluster.Result
+	finished  int              // number of seeds that have run
+	violating []cluster.Result // results with violations
 }
 
-// onResult reports a result, and whether to continue.
+// onResult is called with the result of each seed. It prints the first violation, and returns whether the search continues.
 func (r *searchReporter) onResult(result *cluster.Result) (proceed bool) {
-	r.played++
+	r.finished++
 	if len(result.Violations) > 0 {
 		r.violating = append(r.violating, *result)
 		if r.flags.jsonPath != standardOutput {
@@ -148,13 +149,13 @@
 			fmt.Fprintf(r.output, "seed %d: %s\n", result.Seed, result.Violations[0])
 		}
 	}
-	if r.played%progressInterval == 0 {
-		r.progress.show("%d of %d seeds, %d violated a rule", r.played, r.flags.search.Seeds, len(r.violating))
+	if r.finished%progressInterval == 0 {
+		r.progress.show("%d of %d seeds, %d violated a rule", r.finished, r.flags.search.Seeds, len(r.violating))
 	}
 	return !r.flags.stopAtViolation || len(r.violating) == 0
 }
 
-// summaryLine returns the last line of a search.
+// summaryLine returns the line that sim prints at the end of a search.
 func summaryLine(s *seedsearch.Summary) string {
 	var rules []string
 	for _, rule := range slices.Sorted(maps.Keys(s.Violations)) {
--- a/internal/simulation/mutation/defects_connections_test.go
+++ b/internal/simulation/mutation/defects_connections_test.go
@@ -2,7 +2,7 @@
 
 import "salttrack/internal/simulation/names"
 
-// connectionDefects are defects of connections, of their codec and of the event loop.
+// connectionDefects are defects of the connections, the HTTP decoder and the event loop.
 var connectionDefects = []defect{
 	{
 		name:  "a second answer",
--- a/internal/simulation/mutation/defects_decisions_test.go
+++ b/internal/simulation/mutation/defects_decisions_test.go
@@ -2,7 +2,7 @@
 
 import "salttrack/internal/simulation/names"
 
-// decisionDefects are defects of the decisions and of discovery, which the decisions rely on.
+// decisionDefects are defects of the load balancing decisions and of discovery, which provides the endpoints for them.
 var decisionDefects = []defect{
 	{
 		name:  "drain ignored",
--- a/internal/simulation/mutation/defects_requests_test.go
+++ b/internal/simulation/mutation/defects_requests_test.go
@@ -2,7 +2,7 @@
 
 import "salttrack/internal/simulation/names"
 
-// requestDefects are defects of the handling of requests, settings and shutdowns.
+// requestDefects are defects of the handling of requests, of settings and of shutdown.
 var requestDefects = []defect{
 	{
 		name:  "a late answer",
--- a/internal/simulation/mutation/mutation_test.go
+++ b/internal/simulation/mutation/mutation_test.go
@@ -1,5 +1,6 @@
-// Package mutation tests that the simulator finds defects. Each defect is planted into the balancer's source by an
-// overlay of the build, which no shipped binary contains.
+// Package mutation tests that the simulator finds defects in the balancer.
+// A defect is planted by building salttrack-sim with a build overlay that replaces source files by changed ones.
+// The files of the repository stay as they are, so no released binary contains a defect.
 package mutation
 
 import (
@@ -21,33 +22,34 @@
 const (
 	repositoryRoot = "../../.."
 
-	// defectsVariable is the environment variable that selects defects: "all", or a part of their names. Without it
-	// only the quick ones are planted.
+	// defectsVariable is the environment variable that selects the defects to plant.
+	// Its value is allDefects or a substring of the names of the defects.
+	// If it is not set, only the quick defects are planted.
 	defectsVariable = "PLANTED"
 	allDefects      = "all"
 
-	maxSeeds       = "300" // within which a defect has to be found
-	maxShrinkPlays = "120"
+	maxSeeds      = "300" // limit on the seeds that are searched for a defect
+	maxShrinkRuns = "120" // limit on the runs to shrink a scenario
 
-	exitViolation = 1 // of salttrack-sim
+	exitViolation = 1 // exit code of salttrack-sim after a violation
 )
 
-// edit replaces one piece of a source file.
+// edit replaces a text in a source file. The file has to contain the old text exactly once.
 type edit struct{ file, old, new string }
 
 // defect is a defect to plant.
 type defect struct {
-	name       string            // selects it on the command line, and doesn't change
-	rules      []names.Rule      // by which it may be found
-	quick      bool              // planted in every run of the tests
-	faultTypes []names.FaultType // to generate; all if empty
-	edits      []edit
+	name       string            // selects the defect in defectsVariable, so it can't be renamed
+	rules      []names.Rule      // rules that the defect may violate
+	quick      bool              // whether the defect is also planted if defectsVariable is not set
+	faultTypes []names.FaultType // fault types of the generated scenarios; empty for all
+	edits      []edit            // changes of the source that plant the defect
 }
 
-// defects are all defects.
+// defects has all defects.
 var defects = slices.Concat(decisionDefects, requestDefects, connectionDefects)
 
-// faultsFlag returns the fault types as salttrack-sim takes them.
+// faultsFlag returns the --faults flag of salttrack-sim for the fault types of the defect.
 func (d *defect) faultsFlag() string {
 	var list []string
 	for _, faultType := range d.faultTypes {
@@ -56,7 +58,7 @@
 	return "--faults=" + strings.Join(list, ",")
 }
 
-// apply returns the source files that the defect changes, with their changed text.
+// apply returns the changed text of each source file that the defect edits, by path.
 func (d *defect) apply() (map[string]string, error) {
 	texts := map[string]string{}
 	for _, e := range d.edits {
@@ -68,14 +70,14 @@
 			texts[e.file] = string(text)
 		}
 		if n := strings.Count(texts[e.file], e.old); n != 1 {
-			return nil, fmt.Errorf("%s contains %d times what the defect replaces: %q", e.file, n, e.old)
+			return nil, fmt.Errorf("%s contains the text to replace %d times, not once: %q", e.file, n, e.old)
 		}
 		texts[e.file] = strings.Replace(texts[e.file], e.old, e.new, 1)
 	}
 	return texts, nil
 }
 
-// build builds salttrack-sim with a defect and returns its path.
+// build builds salttrack-sim with a defect and returns the path of the program.
 func build(t *testing.T, d *defect) string {
 	t.Helper()
 	texts, err := d.apply()
@@ -92,7 +94,7 @@
 	return program
 }
 
-// writeOverlay writes changed source files and the overlay file that makes the build use them.
+// writeOverlay writes the changed source files and the overlay file for go build. It returns the path of the overlay file.
 func writeOverlay(t *testing.T, dir string, texts map[string]string) string {
 	t.Helper()
 	replace := map[string]string{}
@@ -118,7 +120,7 @@
 	return overlay
 }
 
-// TestEditsApply checks that each defect still finds the lines that it replaces, also those that are not quick.
+// TestEditsApply checks for all defects, also those that are not quick, that each edited file contains the old text once.
 func TestEditsApply(t *testing.T) {
 	for _, d := range defects {
 		for _, e := range d.edits {
@@ -127,7 +129,7 @@
 				t.Fatal(err)
 			}
 			if n := strings.Count(string(text), e.old); n != 1 {
-				t.Errorf("%s: %s contains %d times what it replaces: %q", d.name, e.file, n, e.old)
+				t.Errorf("defect %q: %s contains the text to replace %d times, not once: %q", d.name, e.file, n, e.old)
 			}
 		}
 	}
@@ -145,8 +147,9 @@
 	}
 }
 
-// TestFound plants each defect. Within 300 seeds a run has to violate a rule that the defect breaks, and the scenario has
-// to become smaller with the same rule violated.
+// TestFound plants each selected defect.
+// One of the first 300 seeds has to violate a rule that the defect may violate.
+// The shrunk scenario of that seed has to violate a rule as well.
 func TestFound(t *testing.T) {
 	withTable := os.Getenv(defectsVariable) != ""
 	if withTable {
@@ -168,18 +171,18 @@
 	}
 }
 
-// finding is the first violation that a search found.
+// finding is the first violation that a search has found.
 type finding struct {
 	seed uint64
 	rule names.Rule
 }
 
-// search searches for a seed that violates a rule, and checks that the defect breaks it.
+// search searches for a seed that violates a rule, and checks that it is one of the rules that the defect may violate.
 func search(t *testing.T, program string, d *defect) finding {
 	t.Helper()
 	output, err := exec.Command(program, "sim", "--seeds", maxSeeds, "--stop", "--json", "-", d.faultsFlag()).Output()
 	if !isViolation(err) {
-		t.Fatalf("not found: %v", err)
+		t.Fatalf("no seed violates a rule: %v", err)
 	}
 	var report struct {
 		seedsearch.Summary
@@ -194,13 +197,13 @@
 	first := report.Found[0]
 	violation := first.Violations[0]
 	if !slices.Contains(d.rules, violation.Rule) {
-		t.Errorf("found as %s, want one of %v: %s", violation.Rule, d.rules, violation.Text)
+		t.Errorf("violated rule %s, want one of %v: %s", violation.Rule, d.rules, violation.Text)
 	}
 	return finding{seed: first.Seed, rule: violation.Rule}
 }
 
-// shrink shrinks the scenario that found a defect, checks that the smaller one still does, and returns the sizes of both
-// as the end of a table row.
+// shrink shrinks the scenario of a finding and checks that the smaller scenario violates a rule too.
+// It returns the number of faults and the duration of both scenarios as the last columns of a table row.
 func shrink(t *testing.T, program string, d *defect, found finding) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -211,7 +214,7 @@
 		t.Errorf("the saved scenario violates no rule: %v", err)
 	}
 	var message strings.Builder
-	cmd := exec.Command(program, "shrink", complete, "--rule", string(found.rule), "--out", smaller, "--tries", maxShrinkPlays)
+	cmd := exec.Command(program, "shrink", complete, "--rule", string(found.rule), "--out", smaller, "--tries", maxShrinkRuns)
 	cmd.Stderr = &message
 	if err := cmd.Run(); err != nil {
 		t.Fatalf("shrink: %v %s", err, message.String())
@@ -219,14 +222,14 @@
 	if err := exec.Command(program, "replay", smaller).Run(); !isViolation(err) {
 		t.Errorf("the smaller scenario violates no rule: %v", err)
 	}
-	var faults, allFaults, plays int
+	var faults, allFaults, runs int
 	var seconds, allSeconds float64
 	_, sizes, _ := strings.Cut(message.String(), ": ")
-	fmt.Sscanf(sizes, "%d of %d faults, %f of %f s left after %d plays", &faults, &allFaults, &seconds, &allSeconds, &plays)
+	fmt.Sscanf(sizes, "%d of %d faults, %f of %f s left after %d runs", &faults, &allFaults, &seconds, &allSeconds, &runs)
 	return fmt.Sprintf("%d, %.0f s | %d, %.1f s |", allFaults, allSeconds, faults, seconds)
 }
 
-// isViolation reports whether a command has ended because a rule was violated.
+// isViolation reports whether err is the error of a command that ended with exitViolation.
 func isViolation(err error) bool {
 	var exit *exec.ExitError
 	return errors.As(err, &exit) && exit.ExitCode() == exitViolation
--- a/internal/simulation/seedsearch/search.go
+++ b/internal/simulation/seedsearch/search.go
@@ -1,4 +1,4 @@
-// Package seedsearch plays the scenarios of many seeds, and shrinks a scenario that violates a rule.
+// Package seedsearch runs the scenarios of many seeds to find violations of rules, and shrinks a scenario that violates one.
 package seedsearch
 
 import (
@@ -14,86 +14,89 @@
 	"salttrack/internal/simulation/scenario"
 )
 
-// Options of a search.
+// Options are the parameters of Run.
 type Options struct {
 	FirstSeed   uint64
-	Seeds       int
-	Concurrency int // scenarios played at a time; the number of cores if 0
-	Scenario    scenario.Options
-	// OnResult, if not nil, is called with each result in the order of the seeds. It returns whether to continue.
+	Seeds       int              // number of consecutive seeds
+	Concurrency int              // number of scenarios that run concurrently; 0 means GOMAXPROCS
+	Scenario    scenario.Options // options of the generated scenarios
+	// OnResult is called with the result of each seed, in the order of the seeds. It may be nil.
+	// The search ends when it returns false.
 	OnResult func(*cluster.Result) (proceed bool)
 }
 
-// Summary is the result of a search. All but the real time is the same for any concurrency.
+// Summary sums up the results of all seeds of a search.
+// All fields except RealSeconds are the same for any Options.Concurrency.
 type Summary struct {
-	Seeds          int                   `json:"seeds"`
-	Steps          uint64                `json:"steps"`
-	VirtualSeconds float64               `json:"virtual_seconds"`
-	RealSeconds    float64               `json:"real_seconds"`
-	Violations     map[names.Rule]int    `json:"violations"` // number of seeds by the first rule that each violated
-	FirstSeeds     map[names.Rule]uint64 `json:"first_seed"`
-	Hash           uint64                `json:"hash"`
-	Counts         checker.Counts        `json:"count"`
+	Seeds          int                   `json:"seeds"`           // number of seeds that have run
+	Steps          uint64                `json:"steps"`           // simulation steps of all seeds
+	VirtualSeconds float64               `json:"virtual_seconds"` // simulated time of all seeds
+	RealSeconds    float64               `json:"real_seconds"`    // duration of the search
+	Violations     map[names.Rule]int    `json:"violations"`      // number of seeds whose first violation is of the rule
+	FirstSeeds     map[names.Rule]uint64 `json:"first_seed"`      // the first of these seeds, by rule
+	Hash           uint64                `json:"hash"`            // combined hash of all runs
+	Counts         checker.Counts        `json:"count"`           // sums of the counts of all runs
 }
 
-// Run plays the scenarios of the seeds.
+// Run runs the scenarios of the seeds and returns the summary.
 func Run(o Options) *Summary {
 	startedAt := time.Now()
 	if o.Concurrency <= 0 {
 		o.Concurrency = runtime.GOMAXPROCS(0)
 	}
 	summary := &Summary{Violations: map[names.Rule]int{}, FirstSeeds: map[names.Rule]uint64{}}
-	p := startPlayers(o)
-	for i := range p.results {
-		result := <-p.results[i]
+	w := startWorkers(o)
+	for i := range w.results {
+		result := <-w.results[i]
 		summary.add(&result)
 		if o.OnResult != nil && !o.OnResult(&result) {
 			break
 		}
 	}
-	p.stop()
+	w.stop()
 	summary.RealSeconds = time.Since(startedAt).Seconds()
 	return summary
 }
 
-// players play scenarios in goroutines, which end after the last seed or by stop.
-type players struct {
+// workers runs scenarios in goroutines. Each goroutine ends after the last seed, or after its current run once stop is called.
+type workers struct {
 	options  Options
-	results  []chan cluster.Result // by the number of the seed; each holds one result, so that no player blocks
-	next     atomic.Int64
+	results  []chan cluster.Result // one per seed, buffered so that no worker blocks
+	next     atomic.Int64          // index of the next seed to run
 	stopping atomic.Bool
-	running  sync.WaitGroup
+	running  sync.WaitGroup // all worker goroutines
 }
 
-func startPlayers(o Options) *players {
-	p := &players{options: o, results: make([]chan cluster.Result, o.Seeds)}
-	for i := range p.results {
-		p.results[i] = make(chan cluster.Result, 1)
+func startWorkers(o Options) *workers {
+	w := &workers{options: o, results: make([]chan cluster.Result, o.Seeds)}
+	for i := range w.results {
+		w.results[i] = make(chan cluster.Result, 1)
 	}
 	for range o.Concurrency {
-		p.running.Go(p.play)
+		w.running.Go(w.runSeeds)
 	}
-	return p
+	return w
 }
 
-func (p *players) play() {
-	for !p.stopping.Load() {
-		i := int(p.next.Add(1)) - 1
-		if i >= len(p.results) {
+// runSeeds is the loop of one worker goroutine.
+func (w *workers) runSeeds() {
+	for !w.stopping.Load() {
+		i := int(w.next.Add(1)) - 1
+		if i >= len(w.results) {
 			return
 		}
-		seed := p.options.FirstSeed + uint64(i)
-		p.results[i] <- cluster.Play(scenario.Generate(seed, p.options.Scenario), cluster.Options{})
+		seed := w.options.FirstSeed + uint64(i)
+		w.results[i] <- cluster.Play(scenario.Generate(seed, w.options.Scenario), cluster.Options{})
 	}
 }
 
-// stop waits until all players have ended.
-func (p *players) stop() {
-	p.stopping.Store(true)
-	p.running.Wait()
+// stop tells all workers to end after their current run, and waits for them.
+func (w *workers) stop() {
+	w.stopping.Store(true)
+	w.running.Wait()
 }
 
-// add adds the result of the next seed.
+// add adds the result of one seed to the summary. It is called in the order of the seeds.
 func (s *Summary) add(result *cluster.Result) {
 	s.Seeds++
 	s.Steps += result.Steps
--- a/internal/simulation/seedsearch/seedsearch_test.go
+++ b/internal/simulation/seedsearch/seedsearch_test.go
@@ -8,14 +8,14 @@
 	"salttrack/internal/simulation/scenario"
 )
 
-// The same seeds give the same summary for any concurrency.
+// TestConcurrency checks that the summary of the same seeds does not depend on the concurrency.
 func TestConcurrency(t *testing.T) {
 	options := Options{FirstSeed: 1, Seeds: 50, Concurrency: 1, Scenario: scenario.Options{Seconds: 4}}
 	one := Run(options)
 	options.Concurrency = 8
 	eight := Run(options)
 	if one.Hash != eight.Hash || one.Steps != eight.Steps || one.Counts != eight.Counts {
-		t.Errorf("one at a time: %+v\neight at a time: %+v", one, eight)
+		t.Errorf("concurrency 1: %+v\nconcurrency 8: %+v", one, eight)
 	}
 	if len(one.Violations) > 0 {
 		t.Error(one.Violations)
@@ -25,7 +25,7 @@
 	}
 }
 
-// A search reports results in the order of the seeds, and ends when OnResult returns false.
+// TestStop checks that a search reports results in the order of the seeds, and that it ends when OnResult returns false.
 func TestStop(t *testing.T) {
 	var seeds []uint64
 	summary := Run(Options{
@@ -39,15 +39,15 @@
 		},
 	})
 	if summary.Seeds != 3 || len(seeds) != 3 || seeds[0] != 5 || seeds[2] != 7 {
-		t.Errorf("%d seeds, %v", summary.Seeds, seeds)
+		t.Errorf("%d seeds in the summary, results of seeds %v", summary.Seeds, seeds)
 	}
 }
 
-// A scenario that violates no rule is not changed.
+// TestShrinkWithoutViolation checks that Shrink does not change a scenario that violates no rule.
 func TestShrinkWithoutViolation(t *testing.T) {
 	s := scenario.Generate(2, scenario.Options{Seconds: 1})
-	smallest, plays := Shrink(s, ShrinkOptions{Rule: names.LostRequest, MaxPlays: 5})
-	if len(smallest.Faults) != len(s.Faults) || plays == 0 || plays > 5 {
-		t.Errorf("%d faults of %d after %d plays", len(smallest.Faults), len(s.Faults), plays)
+	smallest, runs := Shrink(s, ShrinkOptions{Rule: names.LostRequest, MaxRuns: 5})
+	if len(smallest.Faults) != len(s.Faults) || runs == 0 || runs > 5 {
+		t.Errorf("%d of %d faults left after %d runs", len(smallest.Faults), len(s.Faults), runs)
 	}
 }
--- a/internal/simulation/seedsearch/shrink.go
+++ b/internal/simulation/seedsearch/shrink.go
@@ -6,49 +6,52 @@
 	"salttrack/internal/simulation/scenario"
 )
 
+// Lower limits of the values in a shrunk scenario.
 const (
 	minFaultSeconds   = 0.02
-	minSizeDifference = 0.01 // from the least size of a fault type
-	minRequestRate    = 1
-	minSeconds        = 1
+	minSizeDifference = 0.01 // limit on the difference of a fault's size from the smallest allowed size
+	minRequestRate    = 1    // requests per second
+	minSeconds        = 1    // duration of the load
 	minUpstreams      = 2
 )
 
 // ShrinkOptions are the parameters of Shrink.
 type ShrinkOptions struct {
-	Rule      names.Rule // that has to stay violated
-	MaxPlays  int
-	OnSmaller func(*scenario.Scenario) // called with each smaller scenario, if not nil
+	Rule      names.Rule               // rule that the shrunk scenario has to violate
+	MaxRuns   int                      // limit on the number of scenarios that are run
+	OnSmaller func(*scenario.Scenario) // called with each smaller scenario that violates the rule; may be nil
 }
 
-// Shrink makes a scenario smaller while it violates the same rule: it removes faults, makes them shorter and less severe,
-// and shortens the run and reduces its cluster. It returns the smallest one and how many scenarios it has played.
-func Shrink(s *scenario.Scenario, o ShrinkOptions) (smallest *scenario.Scenario, plays int) {
+// Shrink makes a scenario smaller as long as it violates the rule.
+// It removes faults, makes them shorter and less severe, shortens the load, and reduces the request rate and the cluster.
+// It returns the smallest scenario found, and the number of scenarios that it has run.
+func Shrink(s *scenario.Scenario, o ShrinkOptions) (smallest *scenario.Scenario, runs int) {
 	r := &shrinker{options: o, smallest: s.Clone()}
-	for r.plays < o.MaxPlays {
+	for r.runs < o.MaxRuns {
 		removed := r.removeFaults()
 		reduced := r.reduceFaults()
-		shortened := r.reduceRun()
-		if !removed && !reduced && !shortened {
+		downsized := r.reduceCluster()
+		if !removed && !reduced && !downsized {
 			break
 		}
 	}
-	return r.smallest, r.plays
+	return r.smallest, r.runs
 }
 
-// shrinker is one call of Shrink.
+// shrinker is the state of a call of Shrink.
 type shrinker struct {
 	options  ShrinkOptions
-	smallest *scenario.Scenario
-	plays    int
+	smallest *scenario.Scenario // smallest scenario so far that violates the rule
+	runs     int                // number of scenarios that were run
 }
 
-// accept makes a scenario the smallest one if it violates the rule, and reports that.
+// accept runs a scenario and makes it the smallest one if it violates the rule. It reports whether it did.
+// After MaxRuns runs it accepts no further scenario.
 func (r *shrinker) accept(s *scenario.Scenario) bool {
-	if r.plays >= r.options.MaxPlays {
+	if r.runs >= r.options.MaxRuns {
 		return false
 	}
-	r.plays++
+	r.runs++
 	result := cluster.Play(s, cluster.Options{})
 	if !result.Violated(r.options.Rule) {
 		return false
@@ -60,7 +63,9 @@
 	return true
 }
 
-// removeFaults removes half of the faults at a time, then fewer, down to one. It reports whether it has removed any.
+// removeFaults tries to remove groups of consecutive faults.
+// It begins with groups of half of the faults and halves the size of the groups down to one fault.
+// It reports whether it has removed any fault.
 func (r *shrinker) removeFaults() bool {
 	removed := false
 	for count := max(1, len(r.smallest.Faults)/2); count >= 1 && len(r.smallest.Faults) > 0; count /= 2 {
@@ -77,7 +82,7 @@
 	return removed
 }
 
-// reduceFaults makes each fault shorter, and then less severe. It reports whether it has changed any.
+// reduceFaults tries to halve the duration of each fault, and then its size. It reports whether it has changed any fault.
 func (r *shrinker) reduceFaults() bool {
 	reduced := false
 	for i := range r.smallest.Faults {
@@ -91,21 +96,23 @@
 	return reduced
 }
 
-// halveDuration reports whether the shorter fault is worth playing, as the changes below.
+// halveDuration halves the duration of a fault. It reports whether the duration is still above its lower limit.
 func halveDuration(f *scenario.Fault) bool {
 	f.DurationSeconds /= 2
 	return f.DurationSeconds > minFaultSeconds
 }
 
-// halveSize halves the difference to the least size.
+// halveSize halves the difference between a fault's size and the smallest size that its type allows.
+// It reports whether the difference is still above its lower limit.
 func halveSize(f *scenario.Fault) bool {
-	least := scenario.FindFaultSpec(f.Type).Size.Min
-	f.Size = least + (f.Size-least)/2
-	return f.Size-least > minSizeDifference
+	smallest := scenario.FindFaultSpec(f.Type).Size.Min
+	f.Size = smallest + (f.Size-smallest)/2
+	return f.Size-smallest > minSizeDifference
 }
 
-// reduceRun makes the run shorter, then its load and its cluster smaller. It reports whether it has changed any.
-func (r *shrinker) reduceRun() bool {
+// reduceCluster tries to shorten the load, and then to reduce the request rate, the tiers, the balancers and the upstreams.
+// It reports whether it has changed any of them.
+func (r *shrinker) reduceCluster() bool {
 	reduced := false
 	for _, change := range []func(*scenario.Scenario) bool{
 		func(s *scenario.Scenario) bool { return shorten(s, s.Seconds/2) },
@@ -123,7 +130,8 @@
 	return reduced
 }
 
-// shorten shortens the load, if all faults still start within it.
+// shorten sets the duration of the load.
+// It returns false if a fault starts at or after the new end, or if the duration is below its lower limit.
 func shorten(s *scenario.Scenario, seconds float64) bool {
 	for i := range s.Faults {
 		if s.Faults[i].StartSeconds >= seconds {
@@ -154,7 +162,7 @@
 	return s.Cluster.Upstreams >= minUpstreams && isValid(s)
 }
 
-// isValid reports whether a changed scenario can still be played: its faults' targets may be gone.
+// isValid reports whether a changed scenario is still valid. It is not if the change has removed the target of a fault.
 func isValid(s *scenario.Scenario) bool {
 	_, err := scenario.Parse("", s.Marshal())
 	return err == nil
