--- a/cmd/salttrack-sim/main.go
+++ b/cmd/salttrack-sim/main.go
@@ -1,4 +1,5 @@
-// Salttrack-sim runs balancers on a virtual clock and a virtual network, injects faults, and checks the runs against rules.
+// Salttrack-sim runs balancers on a virtual clock and a virtual network, with injected faults.
+// It checks the requests and responses of each run against a set of rules.
 package main
 
 import (
@@ -10,15 +11,15 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes.
+// Exit codes of salttrack-sim.
 const (
 	exitOK        = 0
-	exitViolation = 1 // a rule was violated, the simulator itself failed during real, or shrink found no violation
+	exitViolation = 1 // a rule was violated, real reported an error of the simulator, or shrink found no violation
 	exitError     = 2 // any other error, such as an invalid command line or scenario
 )
 
-// gcPercent is the garbage collection target, as for GOGC.
-// A run has a live heap of a few MB and allocates many objects that live for a short time.
+// gcPercent is the garbage collection target percentage, as in the environment variable GOGC.
+// A run has a live heap of a few MB and allocates many short-lived objects, so a high value costs little memory.
 const gcPercent = 400
 
 // violationError is returned by a command that ends with exitViolation.
@@ -61,7 +62,7 @@
 
 Exit status:
   0  no rule was violated
-  1  a rule was violated, the simulator itself failed during real, or shrink got a scenario that violates no rule
+  1  a rule was violated, real reported an error of the simulator, or shrink got a scenario that violates no rule
   2  any other error, such as an invalid command line or scenario file`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
--- a/cmd/salttrack-sim/main_test.go
+++ b/cmd/salttrack-sim/main_test.go
@@ -35,7 +35,8 @@
 	return string(text)
 }
 
-// expectExitCodes executes command lines and checks their exit codes. The keys of tests are the arguments.
+// expectExitCodes executes command lines and checks their exit codes.
+// The keys of tests are the arguments, and the values are the expected exit codes.
 func expectExitCodes(t *testing.T, tests map[string]int) {
 	t.Helper()
 	silenceStdout(t)
@@ -83,7 +84,7 @@
 	var report searchReport
 	err := json.Unmarshal([]byte(readFile(t, path)), &report)
 	if err != nil || report.Seeds != 3 || report.Steps == 0 || len(report.Found) != 0 {
-		t.Errorf("%v %+v", err, report)
+		t.Errorf("error %v, report %+v", err, report)
 	}
 }
 
@@ -109,12 +110,12 @@
 	}
 }
 
-// TestShippedScenarios checks that the scenarios in deploy/lab violate no rule, that at least 90 percent of their requests are
-// served, and that all their fault types can run on loopback sockets.
+// TestShippedScenarios checks that the scenarios in deploy/lab violate no rule and serve at least 90% of their requests.
+// All their fault types have to be supported on loopback sockets.
 func TestShippedScenarios(t *testing.T) {
 	files, _ := filepath.Glob("../../deploy/lab/*.toml")
 	if len(files) < 2 {
-		t.Fatal(files)
+		t.Fatalf("scenarios in deploy/lab: %v, want at least 2", files)
 	}
 	for _, file := range files {
 		s, err := scenario.Load(file)
@@ -124,7 +125,7 @@
 		}
 		for _, f := range s.Faults {
 			if !scenario.FindFaultSpec(f.Type).OnLoopback {
-				t.Errorf("%s: fault type %s can't run on loopback sockets", file, f.Type)
+				t.Errorf("%s: fault type %s is not supported on loopback sockets", file, f.Type)
 			}
 		}
 		result := cluster.Play(s, cluster.Options{})
--- a/cmd/salttrack-sim/real.go
+++ b/cmd/salttrack-sim/real.go
@@ -12,7 +12,7 @@
 	"salttrack/internal/simulation/scenario"
 )
 
-// realRunOverheadSeconds is the estimated duration of a run on loopback sockets without the duration of its load.
+// realRunOverheadSeconds is the estimated time that a run on loopback sockets takes in addition to its load.
 const realRunOverheadSeconds = 6
 
 func newRealCommand() *cobra.Command {
@@ -88,7 +88,7 @@
 	}
 }
 
-// writeCounts writes a row of the table: the number of requests, the outcomes as percentages of it, and the number of attempts.
+// writeCounts writes a row of the table: the requests, the outcomes as percentages of the requests, and the attempts.
 func writeCounts(output io.Writer, name string, counts checker.Counts) {
 	percent := func(n int) string {
 		return fmt.Sprintf("%.2f%%", 100*float64(n)/float64(max(1, counts.Requests)))
--- a/cmd/salttrack-sim/shrink.go
+++ b/cmd/salttrack-sim/shrink.go
@@ -42,7 +42,7 @@
 	return command
 }
 
-// shrink shrinks the scenario in the file at path, and writes the smaller one.
+// shrink shrinks the scenario in the file at path, and writes the smallest scenario found.
 func (f *shrinkFlags) shrink(output io.Writer, path string) error {
 	s, err := scenario.Load(path)
 	if err != nil {
--- a/cmd/salttrack-sim/sim.go
+++ b/cmd/salttrack-sim/sim.go
@@ -66,7 +66,7 @@
 	set := command.Flags()
 	set.IntVar(&f.search.Seeds, "seeds", 100, "number of seeds")
 	set.Uint64Var(&f.search.FirstSeed, "first", 1, "first seed")
-	set.IntVar(&f.search.Concurrency, "jobs", 0, "number of seeds that run concurrently (0: GOMAXPROCS)")
+	set.IntVar(&f.search.Concurrency, "jobs", 0, "number of seeds that run concurrently (0 for the value of GOMAXPROCS)")
 	set.StringSliceVar(&f.faultTypes, "faults", nil, "generate only faults of these types (see salttrack-sim kinds)")
 	set.Float64Var(&f.search.Scenario.Seconds, "seconds", 30, "duration of the load in virtual seconds")
 	set.Uint64Var(&f.seed, "seed", 0, "run only this seed")
@@ -139,7 +139,8 @@
 	violating []cluster.Result // results with violations
 }
 
-// onResult is called with the result of each seed. It prints the first violation, and returns whether the search continues.
+// onResult is called with the result of each seed. It prints the first violation of the result.
+// It returns whether the search continues.
 func (r *searchReporter) onResult(result *cluster.Result) (proceed bool) {
 	r.finished++
 	if len(result.Violations) > 0 {
--- a/internal/simulation/mutation/mutation_test.go
+++ b/internal/simulation/mutation/mutation_test.go
@@ -46,7 +46,7 @@
 	edits      []edit            // changes of the source that plant the defect
 }
 
-// defects has all defects.
+// defects lists all defects.
 var defects = slices.Concat(decisionDefects, requestDefects, connectionDefects)
 
 // faultsFlag returns the --faults flag of salttrack-sim for the fault types of the defect.
@@ -94,7 +94,8 @@
 	return program
 }
 
-// writeOverlay writes the changed source files and the overlay file for go build. It returns the path of the overlay file.
+// writeOverlay writes the changed source files and the overlay file for go build.
+// It returns the path of the overlay file.
 func writeOverlay(t *testing.T, dir string, texts map[string]string) string {
 	t.Helper()
 	replace := map[string]string{}
@@ -120,7 +121,7 @@
 	return overlay
 }
 
-// TestEditsApply checks for all defects, also those that are not quick, that each edited file contains the old text once.
+// TestEditsApply checks that each edited file contains the old text once, for all defects and not only the quick ones.
 func TestEditsApply(t *testing.T) {
 	for _, d := range defects {
 		for _, e := range d.edits {
@@ -177,7 +178,8 @@
 	rule names.Rule
 }
 
-// search searches for a seed that violates a rule, and checks that it is one of the rules that the defect may violate.
+// search searches for a seed that violates a rule.
+// It checks that the rule is one of those that the defect may violate.
 func search(t *testing.T, program string, d *defect) finding {
 	t.Helper()
 	output, err := exec.Command(program, "sim", "--seeds", maxSeeds, "--stop", "--json", "-", d.faultsFlag()).Output()
--- a/internal/simulation/scenario/fault_specs.go
+++ b/internal/simulation/scenario/fault_specs.go
@@ -47,7 +47,7 @@
 	},
 	{
 		Name:        names.CostlyRequests,
-		Description: "one request in twenty takes more CPU time on the upstream",
+		Description: "the service time of one request in twenty is longer",
 		Size:        SizeSpec{Meaning: "service time factor", Min: 1, Max: 1000, generated: valueRange{8, 30}},
 		duration:    valueRange{4, 15},
 		OnLoopback:  true,
@@ -199,14 +199,14 @@
 	},
 	{
 		Name:        names.ChangeSettings,
-		Description: "a balancer gets SIGHUP with an invalid file, then with other classes and attempts",
+		Description: "a balancer gets SIGHUP with an invalid configuration, then with changed classes and attempts",
 		Target:      BalancerTarget,
 		duration:    valueRange{0.1, 0.1},
 		weight:      2,
 	},
 	{
 		Name:        names.ReloadUnchanged,
-		Description: "a balancer gets SIGHUP, and its file has not changed",
+		Description: "a balancer gets SIGHUP without a change of its configuration",
 		Target:      BalancerTarget,
 		duration:    valueRange{0.1, 0.1},
 	},
@@ -249,7 +249,7 @@
 	},
 	{
 		Name:        names.FailingSystemCalls,
-		Description: "system calls of a balancer fail for lack of descriptors, memory or ports, or by network errors",
+		Description: "system calls of a balancer fail for lack of descriptors, memory or ports, or because of network errors",
 		Target:      BalancerTarget,
 		Size:        SizeSpec{Meaning: "fraction of calls", Max: 1, generated: valueRange{0.05, 0.6}},
 		duration:    valueRange{0.1, 3},
@@ -285,14 +285,14 @@
 	},
 	{
 		Name:        names.PipeliningClients,
-		Description: "clients send a pipelined request after a request",
+		Description: "clients pipeline a second request behind a request",
 		Size:        SizeSpec{Meaning: "fraction of requests", Max: 1, generated: valueRange{0.02, 0.3}},
 		duration:    valueRange{3, 15},
 		OnLoopback:  true,
 	},
 	{
 		Name:        names.NewConnections,
-		Description: "clients open a new connection for a request",
+		Description: "clients send requests on new connections",
 		Size:        SizeSpec{Meaning: "fraction of requests", Max: 1, generated: valueRange{0.1, 1}},
 		duration:    valueRange{3, 15},
 		OnLoopback:  true,
--- a/internal/simulation/scenario/generate.go
+++ b/internal/simulation/scenario/generate.go
@@ -79,7 +79,7 @@
 // It sets the service time that results in the drawn utilization, but to at most maxServiceTimeMS.
 func (c *Cluster) generateLoad(r randstream.Stream) {
 	c.RequestRate = r.Between(60, 160)
-	utilization := r.Between(0.2, 0.9) // of the upstreams' cores, while no fault is active
+	utilization := r.Between(0.2, 0.9) // fraction of the upstreams' cores that is busy while no fault is active
 	if r.Chance(0.15) {
 		utilization = r.Between(0.9, 1.4)
 	}
@@ -119,7 +119,7 @@
 	return f
 }
 
-// candidates returns the fault types to draw from. Each is contained as many times as its weight.
+// candidates returns the fault types to draw from. Each appears as many times as its weight, at least once.
 // If the cluster supports none of the given types, SlowUpstream is the only candidate.
 func (s *Scenario) candidates(types []names.FaultType) []*FaultSpec {
 	var list []*FaultSpec
--- a/internal/simulation/scenario/parse.go
+++ b/internal/simulation/scenario/parse.go
@@ -13,7 +13,7 @@
 // Error is an error in a scenario file.
 type Error struct {
 	File   string
-	Line   int    // 0 if unknown
+	Line   int    // line number of the error; 0 if unknown
 	Path   string // path of the invalid value, such as "world.rate" or "fault[2].size"; "" if the text is not valid TOML
 	Reason string
 }
@@ -88,8 +88,7 @@
 	return 0
 }
 
-// faultLine returns the line number of a fault's [[fault]] header, or 0 if there are not so many faults.
-// The parameter fault is the index of the fault.
+// faultLine returns the line number of the [[fault]] header with the given index, or 0 if the text has no such header.
 func faultLine(text []byte, fault int) int {
 	headers := 0
 	for i, line := range strings.Split(string(text), "\n") {
--- a/internal/simulation/scenario/scenario.go
+++ b/internal/simulation/scenario/scenario.go
@@ -60,7 +60,7 @@
 	StartSeconds    float64         `toml:"at"`               // time from the start of the load
 	DurationSeconds float64         `toml:"for"`              // every fault ends with the load at the latest
 	Target          string          `toml:"target,omitempty"` // an upstream, a balancer or two zones, depending on the type
-	Size            float64         `toml:"size,omitempty"`   // strength of the effect; SizeSpec.Meaning has its unit
+	Size            float64         `toml:"size,omitempty"`   // strength of the effect; SizeSpec.Meaning names its unit
 }
 
 // EndSeconds returns the time at which the fault ends, in seconds from the start of the load.
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -58,7 +58,7 @@
 		{"no id", fault("id = ''", "kind = 'hup'", start, duration, "target = 'b0'"),
 			"fault[0].id", `ID "" is empty`},
 		{"start after the end of the load", fault("id = 'a'", "kind = 'hup'", "at = 31.0", duration, "target = 'b0'"),
-			"fault[0].at", "31 is not within the load of 30 s"},
+			"fault[0].at", "31 is not within 0 to 30, the duration of the load"},
 		{"start is not a number", fault("id = 'a'", "kind = 'errors'", "at = nan", duration, "target = 'u0-1'"),
 			"fault[0].at", "NaN"},
 		{"size", fault("id = 'a'", "kind = 'errors'", start, duration, "target = 'u0-1'", "size = 2.0"),
--- a/internal/simulation/scenario/target.go
+++ b/internal/simulation/scenario/target.go
@@ -11,7 +11,7 @@
 // TargetKind is the kind of target that a fault type has.
 type TargetKind uint8
 
-// All kinds of targets. Fault types with NoTarget affect the whole cluster.
+// All kinds of targets. For fault types with NoTarget, Fault.Target has to be empty.
 const (
 	NoTarget TargetKind = iota
 	UpstreamTarget
--- a/internal/simulation/scenario/validate.go
+++ b/internal/simulation/scenario/validate.go
@@ -125,7 +125,7 @@
 		return "kind", fmt.Sprintf("unknown fault type %q; allowed are %s", f.Type, strings.Join(FaultTypeNames(), ", "))
 	}
 	if !within(f.StartSeconds, 0, s.Seconds) {
-		return "at", fmt.Sprintf("%g is not within the load of %g s", f.StartSeconds, s.Seconds)
+		return "at", fmt.Sprintf("%g is not within 0 to %g, the duration of the load in seconds", f.StartSeconds, s.Seconds)
 	}
 	if !within(f.DurationSeconds, 0, maxSeconds) {
 		return "for", fmt.Sprintf("%g is not within 0 to %d seconds", f.DurationSeconds, maxSeconds)
--- a/internal/simulation/seedsearch/search.go
+++ b/internal/simulation/seedsearch/search.go
@@ -1,4 +1,5 @@
-// Package seedsearch runs the scenarios of many seeds to find violations of rules, and shrinks a scenario that violates one.
+// Package seedsearch runs the scenarios of many seeds to find violations of rules.
+// It also shrinks a scenario to a smaller one that violates the same rule.
 package seedsearch
 
 import (
@@ -29,11 +30,11 @@
 // All fields except RealSeconds are the same for any Options.Concurrency.
 type Summary struct {
 	Seeds          int                   `json:"seeds"`           // number of seeds that have run
-	Steps          uint64                `json:"steps"`           // simulation steps of all seeds
-	VirtualSeconds float64               `json:"virtual_seconds"` // simulated time of all seeds
+	Steps          uint64                `json:"steps"`           // simulation steps of all runs
+	VirtualSeconds float64               `json:"virtual_seconds"` // simulated time of all runs
 	RealSeconds    float64               `json:"real_seconds"`    // duration of the search
 	Violations     map[names.Rule]int    `json:"violations"`      // number of seeds whose first violation is of the rule
-	FirstSeeds     map[names.Rule]uint64 `json:"first_seed"`      // the first of these seeds, by rule
+	FirstSeeds     map[names.Rule]uint64 `json:"first_seed"`      // the first seed whose first violation is of the rule
 	Hash           uint64                `json:"hash"`            // combined hash of all runs
 	Counts         checker.Counts        `json:"count"`           // sums of the counts of all runs
 }
@@ -58,7 +59,8 @@
 	return summary
 }
 
-// workers runs scenarios in goroutines. Each goroutine ends after the last seed, or after its current run once stop is called.
+// workers runs scenarios in goroutines.
+// A goroutine ends when no seed is left, or after its current run once stop is called.
 type workers struct {
 	options  Options
 	results  []chan cluster.Result // one per seed, buffered so that no worker blocks
--- a/internal/simulation/seedsearch/seedsearch_test.go
+++ b/internal/simulation/seedsearch/seedsearch_test.go
@@ -18,10 +18,10 @@
 		t.Errorf("concurrency 1: %+v\nconcurrency 8: %+v", one, eight)
 	}
 	if len(one.Violations) > 0 {
-		t.Error(one.Violations)
+		t.Errorf("violations: %v", one.Violations)
 	}
 	if one.Seeds != 50 || one.Counts.Requests < 5000 {
-		t.Errorf("%+v", one)
+		t.Errorf("summary %+v, want 50 seeds and at least 5000 requests", one)
 	}
 }
 
--- a/internal/simulation/seedsearch/shrink.go
+++ b/internal/simulation/seedsearch/shrink.go
@@ -9,9 +9,9 @@
 // Lower limits of the values in a shrunk scenario.
 const (
 	minFaultSeconds   = 0.02
-	minSizeDifference = 0.01 // limit on the difference of a fault's size from the smallest allowed size
+	minSizeDifference = 0.01 // difference between a fault's size and the smallest size that its type allows
 	minRequestRate    = 1    // requests per second
-	minSeconds        = 1    // duration of the load
+	minSeconds        = 1    // duration of the load in seconds
 	minUpstreams      = 2
 )
 
@@ -82,7 +82,8 @@
 	return removed
 }
 
-// reduceFaults tries to halve the duration of each fault, and then its size. It reports whether it has changed any fault.
+// reduceFaults tries to halve the duration of each fault, and then its size.
+// It reports whether it has changed any fault.
 func (r *shrinker) reduceFaults() bool {
 	reduced := false
 	for i := range r.smallest.Faults {
@@ -110,7 +111,7 @@
 	return f.Size-smallest > minSizeDifference
 }
 
-// reduceCluster tries to shorten the load, and then to reduce the request rate, the tiers, the balancers and the upstreams.
+// reduceCluster tries to shorten the load, and then to reduce the request rate and the size of the cluster.
 // It reports whether it has changed any of them.
 func (r *shrinker) reduceCluster() bool {
 	reduced := false
@@ -162,7 +163,8 @@
 	return s.Cluster.Upstreams >= minUpstreams && isValid(s)
 }
 
-// isValid reports whether a changed scenario is still valid. It is not if the change has removed the target of a fault.
+// isValid reports whether a changed scenario is still valid.
+// It is invalid if the target of a fault is no longer part of the cluster.
 func isValid(s *scenario.Scenario) bool {
 	_, err := scenario.Parse("", s.Marshal())
 	return err == nil
