--- a/internal/node/overrides_test.go
+++ b/internal/node/overrides_test.go
@@ -104,7 +104,7 @@
 	block := make(chan struct{})
 	store.configure(func() { store.block = block })
 	results := r.disable()
-	err := <-results // the timeout passes in real time, since Pass stops at the timer of the next poll
+	err := <-results // the timeout passes in real time, since AdvanceTimers stops at the timer of the next poll
 	if !errors.Is(err, ErrOverrideTimeout) || err.Error() != "the folder of orders does not answer: the order is carried out only if it does" {
 		t.Errorf("override with a blocked store: error %v", err)
 	}
