--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
-# Build, test, lint and run salttrack. Go and a C compiler (for the linker) are all that is needed.
+# Targets that build, test, lint and run salttrack. They need Go and a C compiler, which Go uses for external linking.
 
-# The files of the decisions, as the deploy file lists them.
+# Files of the load balancing policy, read from the key "policy" of the deployment file.
 POLICY = $(shell sed -n 's/^policy = //p' deploy/balancer.toml | tr -d '[],"')
 
 .PHONY: build test lint run fuzz sim mutation
@@ -8,18 +8,21 @@
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
 
-# Tests of known failures, one a line in KNOWN-RED.txt as "name: cause, issue". They are printed and skipped.
-RED = $(shell sed -n 's/^\([A-Za-z0-9_]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd "|" -)
-SKIP = $(if $(RED),-skip '^($(RED))$$')
+# KNOWN-RED.txt lists the tests that are known to fail, one per line, as "name: cause, issue".
+# "make test" prints the list and skips these tests.
+KNOWN_FAILURES = $(shell sed -n 's/^\([A-Za-z0-9_]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd "|" -)
+SKIP = $(if $(KNOWN_FAILURES),-skip '^($(KNOWN_FAILURES))$$')
 
-# Both builds, with the race detector: the debug one panics where an invariant breaks.
+# Runs the tests of the release build and of the debug build with the race detector.
+# The debug build panics when an invariant is violated.
+# The tests of the fault layer need a build with the tag "faults".
 test:
 	@if [ -s KNOWN-RED.txt ]; then echo "known failures, skipped:"; cat KNOWN-RED.txt; fi
 	go test -race -count=1 $(SKIP) ./...
 	go test -race -count=1 $(SKIP) -tags debug ./...
 	go test -race -count=1 $(SKIP) -tags faults -run FaultLayer ./cmd/salttrack
 
-# The linters' versions stand in tools/go.mod, apart from what the product depends on.
+# tools/go.mod pins the versions of the linters, separately from the dependencies of the product.
 TOOL = go tool -modfile=tools/go.mod
 
 lint:
@@ -32,21 +35,23 @@
 	$(TOOL) staticcheck -tags faults ./cmd/salttrack
 	$(TOOL) revive -config tools/revive.toml ./...
 	@wide=$$(for f in $(POLICY); do expand -t4 $$f | awk -v f=$$f 'length > 110 {print f ":" NR}'; done); \
-	if [ -n "$$wide" ]; then echo "over 110 columns: $$wide"; exit 1; fi
+	if [ -n "$$wide" ]; then echo "lines over 110 columns: $$wide"; exit 1; fi
 
-# The balancer's code on a virtual clock against faults: 100 fixed seeds, judged by the rules of the service.
+# Runs the balancer in the simulator, on a virtual clock and with injected faults, for 100 fixed seeds.
+# Fails if a run violates one of the simulator's rules.
 sim: build
 	bin/salttrack-sim sim --seeds 100
 
-# Each defect of the mutation test is planted by a build overlay, and the simulator has to find it. Minutes.
+# Checks for each defect of the mutation test that the simulator detects it.
+# A build overlay plants the defect in the balancer's source. Takes several minutes.
 mutation:
 	PLANTED=all go test ./internal/simulation/mutation -count=1 -timeout 20m -v
 
-# A balancer in the foreground, by a configuration as in README.md: make run CONFIG=my.json
+# Runs the balancer in the foreground with a configuration file as described in README.md: make run CONFIG=my.json
 run: build
 	BALANCER_CONFIG=$(CONFIG) bin/salttrack
 
-# Malformed input beyond the seeds, a while for each decoder.
+# Fuzzes each decoder for 30 s, starting from its seed corpus.
 fuzz:
 	for f in FuzzRequest FuzzResponse; do go test ./internal/http1 -run '^$$' -fuzz "^$$f$$" -fuzztime 30s || exit 1; done
 	go test ./internal/discovery -run '^$$' -fuzz FuzzParse -fuzztime 30s
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,5 @@
-// Package docs_test holds the pages against the repository: links, the layers of packages, and the walks through the code.
+// Package docs_test checks the documentation against the repository: links, the layers of packages, and the walkthroughs
+// of the code.
 package docs_test
 
 import (
@@ -25,7 +26,8 @@
 	codeSpan     = regexp.MustCompile("`([^`]+)`")
 )
 
-// TestLinks follows the relative links of all pages, and the mentions of pages in pages and code.
+// TestLinks checks that the targets of relative links in Markdown files exist, and that the pages below docs exist that
+// Markdown, Go and TOML files mention.
 func TestLinks(t *testing.T) {
 	for _, file := range trackedFiles(t) {
 		switch filepath.Ext(file) {
@@ -46,7 +48,7 @@
 		return
 	}
 	if path := filepath.Join(filepath.Dir(file), target); !exists(path) {
-		t.Errorf("%s: dead link %s", file, target)
+		t.Errorf("%s: link to %s, which does not exist", file, target)
 	}
 }
 
@@ -54,12 +56,13 @@
 	t.Helper()
 	for _, page := range pageMention.FindAllString(read(t, file), -1) {
 		if !exists(page) {
-			t.Errorf("%s: there is no page %s", file, page)
+			t.Errorf("%s: mentions %s, which does not exist", file, page)
 		}
 	}
 }
 
-// TestLayers checks that each package stands in the table of layers once, and imports only packages of lower layers.
+// TestLayers checks that the table of layers lists each package once, and that each package imports only packages of
+// lower layers.
 func TestLayers(t *testing.T) {
 	layers := layerTable(t)
 	packages := goList(t, "{{.ImportPath}} {{join .Imports \" \"}}")
@@ -68,44 +71,45 @@
 		name := strings.TrimPrefix(fields[0], module)
 		layer, ok := layers[name]
 		if !ok {
-			t.Errorf("%s: package %s is in no layer", architecture, name)
+			t.Errorf("%s: the table of layers does not list package %s", architecture, name)
 			continue
 		}
 		for _, imported := range fields[1:] {
 			other, own := strings.CutPrefix(imported, module)
 			if own && layers[other] >= layer {
-				t.Errorf("%s (layer %d) imports %s (layer %d)", name, layer, other, layers[other])
+				t.Errorf("%s (layer %d) imports %s (layer %d), which is not in a lower layer", name, layer, other, layers[other])
 			}
 		}
 	}
 	for name := range layers {
 		if !slices.ContainsFunc(packages, func(line string) bool { return strings.Fields(line)[0] == module+name }) {
-			t.Errorf("%s: there is no package %s", architecture, name)
+			t.Errorf("%s: the table of layers lists package %s, which does not exist", architecture, name)
 		}
 	}
 }
 
-// TestPurePackages checks that the packages that the page calls free of I/O and clocks import nothing that has them.
+// TestPurePackages checks the packages that the architecture page lists as free of I/O and clocks: they import no
+// package that does I/O or reads a clock.
 func TestPurePackages(t *testing.T) {
 	forbidden := []string{"net", "os", "syscall", "golang.org/x/sys/unix", "os/signal", "io/fs", "time"}
 	pure := sectionSpans(t, "## Packages without I/O")
 	if len(pure) == 0 {
-		t.Fatal("the page names no such package")
+		t.Fatalf("%s lists no packages without I/O", architecture)
 	}
 	for _, name := range pure {
 		for _, line := range goList(t, "{{join .Imports \" \"}}", module+name) {
 			for _, imported := range strings.Fields(line) {
 				if slices.Contains(forbidden, imported) {
-					t.Errorf("%s imports %s", name, imported)
+					t.Errorf("%s is listed as free of I/O and clocks but imports %s", name, imported)
 				}
 			}
 		}
 	}
 }
 
-// TestWalks checks that each function that a walk names is where the walk says. A step is a row of a table: number, what
-// happens, file, functions.
-func TestWalks(t *testing.T) {
+// TestWalkthroughs checks the walkthroughs of the architecture page: each function that a step names is declared in the
+// file of that step. A step is a table row with the cells number, description, file and functions.
+func TestWalkthroughs(t *testing.T) {
 	steps := 0
 	for _, row := range tableRows(read(t, "docs/"+architecture)) {
 		if len(row) != 4 || !strings.HasSuffix(strings.Trim(row[2], "`"), ".go") {
@@ -114,23 +118,23 @@
 		steps++
 		file := strings.Trim(row[2], "`")
 		if !exists(file) {
-			t.Errorf("step %s: there is no file %s", row[0], file)
+			t.Errorf("step %s: file %s does not exist", row[0], file)
 			continue
 		}
 		text := read(t, file)
 		for _, m := range codeSpan.FindAllStringSubmatch(row[3], -1) {
 			declaration := regexp.MustCompile(`(?m)^func (\([^)]*\) )?` + regexp.QuoteMeta(m[1]) + `[\[(]`)
 			if !declaration.MatchString(text) {
-				t.Errorf("step %s: %s declares no function %s", row[0], file, m[1])
+				t.Errorf("step %s: file %s does not declare function %s", row[0], file, m[1])
 			}
 		}
 	}
 	if steps < 50 {
-		t.Errorf("%d steps found in %s", steps, architecture)
+		t.Errorf("%s has %d steps of walkthroughs, want at least 50", architecture, steps)
 	}
 }
 
-// layerTable returns the layer of each package, 0 being the lowest.
+// layerTable returns the number of the layer of each package. Layer 0 is the lowest.
 func layerTable(t *testing.T) map[string]int {
 	t.Helper()
 	layers := map[string]int{}
@@ -141,7 +145,7 @@
 		}
 		for _, m := range codeSpan.FindAllStringSubmatch(row[len(row)-1], -1) {
 			if _, twice := layers[m[1]]; twice {
-				t.Errorf("%s: %s is in two layers", architecture, m[1])
+				t.Errorf("%s: the table of layers lists %s twice", architecture, m[1])
 			}
 			layers[m[1]] = layer
 		}
@@ -149,7 +153,7 @@
 	return layers
 }
 
-// section returns the part of the architecture page under a heading.
+// section returns the text of the architecture page from a heading to the next heading of level 2.
 func section(t *testing.T, heading string) string {
 	t.Helper()
 	_, text, found := strings.Cut(read(t, "docs/"+architecture), heading+"\n")
@@ -160,6 +164,7 @@
 	return text
 }
 
+// sectionSpans returns the code spans of a section of the architecture page, without their backticks.
 func sectionSpans(t *testing.T, heading string) (spans []string) {
 	t.Helper()
 	for _, m := range codeSpan.FindAllStringSubmatch(section(t, heading), -1) {
@@ -168,7 +173,8 @@
 	return spans
 }
 
-// tableRows returns the cells of all rows of tables.
+// tableRows returns the cells of the rows of all tables in a Markdown text, with headers and separators.
+// Empty cells at the start and the end of a row are left out.
 func tableRows(text string) (rows [][]string) {
 	for line := range strings.SplitSeq(text, "\n") {
 		if !strings.HasPrefix(line, "|") {
@@ -183,7 +189,8 @@
 	return rows
 }
 
-// trackedFiles returns the files of the repository, but for what the benches have recorded.
+// trackedFiles returns the paths of the files that git tracks and that exist in the worktree.
+// It leaves out journal, which holds recorded results of benchmarks.
 func trackedFiles(t *testing.T) (files []string) {
 	t.Helper()
 	for _, file := range strings.Fields(run(t, "git", "ls-files")) {
@@ -192,11 +199,13 @@
 		}
 	}
 	if len(files) == 0 {
-		t.Fatal("no files")
+		t.Fatal("git tracks no files outside journal")
 	}
 	return files
 }
 
+// goList runs go list and returns the lines of its output.
+// Without package arguments it lists the packages of balance, cmd and internal.
 func goList(t *testing.T, format string, packages ...string) []string {
 	t.Helper()
 	if len(packages) == 0 {
@@ -206,6 +215,7 @@
 	return strings.Split(strings.TrimSpace(run(t, "go", args...)), "\n")
 }
 
+// run runs a command in the root of the repository and returns its standard output.
 func run(t *testing.T, name string, args ...string) string {
 	t.Helper()
 	var stderr bytes.Buffer
@@ -219,6 +229,7 @@
 	return string(out)
 }
 
+// read returns the text of a file. The path is relative to the root of the repository.
 func read(t *testing.T, file string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, file))
@@ -228,6 +239,7 @@
 	return string(text)
 }
 
+// exists reports whether a file or folder exists. The path is relative to the root of the repository.
 func exists(file string) bool {
 	_, err := os.Stat(filepath.Join(root, file))
 	return err == nil
