--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,5 +1,5 @@
-// Package docs_test checks the documentation against the repository: links, the layers of packages, and the walkthroughs
-// of the code.
+// Package docs_test checks the documentation against the repository: links, the layers of packages, the walkthroughs of
+// the code, and the glossary.
 package docs_test
 
 import (
@@ -77,7 +77,7 @@
 		for _, imported := range fields[1:] {
 			other, own := strings.CutPrefix(imported, module)
 			if own && layers[other] >= layer {
-				t.Errorf("%s (layer %d) imports %s (layer %d), which is not in a lower layer", name, layer, other, layers[other])
+				t.Errorf("%s (layer %d) imports %s (layer %d), want a lower layer", name, layer, other, layers[other])
 			}
 		}
 	}
