--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -1,6 +1,7 @@
-// Package checker checks a run against its rules. It uses only what clients, upstreams and discovery recorded on the
-// wire, never what the balancer itself reports; the counters alone are compared with the records. All times are in
-// milliseconds.
+// Package checker checks a simulated run against the rules in package names.
+// The checks use only what the fake clients, upstreams and discovery agents recorded.
+// Of the balancer's own reports only the counters are used: they are compared with the records.
+// All times are in milliseconds.
 package checker
 
 import (
@@ -12,58 +13,60 @@
 	"salttrack/internal/simulation/names"
 )
 
-// Violation is one violation of a rule.
+// Violation is one violation of a rule. It is stored in JSON reports.
 type Violation struct {
 	Rule names.Rule `json:"rule"`
 	At   float64    `json:"at"` // ms after the start of the run
 	Text string     `json:"text"`
 }
 
-// Error returns rule, time and text.
+// Error returns the rule, the time and the text of the violation.
 func (v Violation) Error() string { return fmt.Sprintf("%s at %.1f ms: %s", v.Rule, v.At, v.Text) }
 
-// Environment tells what exempts a balancer from a rule.
+// Environment reports the conditions of a run that excuse a balancer from a rule.
 type Environment interface {
-	// LastResume returns when a balancer's process last got its CPU back, if it had none at some time between from and
-	// to, and 0 otherwise. The balancer can't act before.
+	// LastResume returns the time at which the last stall of a balancer's process between from and to ended.
+	// It returns 0 if the process was not stalled in that time. A stalled process has no CPU and can't act.
 	LastResume(balancer string, from, to float64) float64
-	// Exempt reports whether a balancer was killed or unreachable for a client between from and to.
+	// Exempt reports whether a balancer was killed, or unreachable from a client, at some time between from and to.
 	Exempt(balancer, client string, from, to float64) bool
-	// MaxTransitMS returns how long data may be in transit between the two.
+	// MaxTransitMS returns the longest time in ms that data may be in transit between a balancer and a client.
 	MaxTransitMS(balancer, client string) float64
 }
 
-// Limits are the limits that the rules apply.
+// Limits are the parameters of the rules.
 type Limits struct {
-	StartedAt    float64 // of the run, for the times in violations
+	StartedAt    float64 // start of the run; the times of violations are relative to it
 	Classes      []balance.Class
-	MaxAttempts  int
-	DrainGraceMS float64
+	MaxAttempts  int     // attempts allowed for each request
+	DrainGraceMS float64 // how long a balancer may use an upstream after it was informed that the upstream drains
 	ToleranceMS  float64 // added to each time limit
-	ExactTimes   bool    // recorded times are those on the wire
+	ExactTimes   bool    // the recorded times are the times on the wire, without delays of the recording process
 }
 
-// maxViolations of a run are kept.
+// maxViolations is the limit of stored violations of one run. Later violations are dropped.
 const maxViolations = 50
 
-// maxEarlyResponseMS is how long before a deadline a balancer may begin its response.
-const maxEarlyResponseMS = 30
+// earlyResponseMarginMS is how long before a time limit, in ms, a balancer may begin to respond.
+// A stall of the balancer in this period excuses a response after the limit.
+const earlyResponseMarginMS = 30
 
-// request is what is known of one try of a client.
+// request is the record of one request that a client sent. A client's retry is another request.
 type request struct {
 	fake.Request
-	answered    bool
-	status      int
-	answeredAt  float64
-	cancelledAt float64 // 0 if it was not cancelled
-	executions  int
-	attempts    int
+	responded   bool // the client received a complete response
+	status      int  // HTTP status of the response
+	respondedAt float64
+	cancelledAt float64 // 0 if the client did not cancel the request
+	executions  int     // how often upstreams executed the request
+	attempts    int     // attempts that upstreams received
 }
 
-// endpointView is one balancer's view of one upstream.
-type endpointView struct{ balancer, upstream string }
+// endpointKey identifies the state of one upstream as one balancer process knows it.
+type endpointKey struct{ balancer, upstream string }
 
-// Checker checks one run. It is a fake.Recorder. Its callers make sure that one call is made at a time.
+// Checker records the events of one run and checks them. It implements fake.Recorder.
+// It is not safe for concurrent use.
 type Checker struct {
 	Violations []Violation
 	Counts     Counts
@@ -71,29 +74,29 @@
 	limits      Limits
 	environment Environment
 
-	requests       map[string]*request
-	produced       map[string][]string // response bodies by request
-	executions     map[string][]string // where requests that must run once ran, by root ID or idempotency key
-	drainingSince  map[endpointView]float64
-	disabledSince  map[endpointView]float64
-	announcedStart map[endpointView]float64
+	requests       map[string]*request       // by request ID
+	producedBodies map[string][]string       // response bodies of upstreams, by request ID
+	executionSites map[string][]string       // upstream and zone of each execution, by root ID of a non-idempotent request or by idempotency key
+	drainingSince  map[endpointKey]float64   // time of the first update by which the upstream was draining or terminated
+	disabledSince  map[endpointKey]float64   // time at which the balancer confirmed that it disabled the upstream
+	announcedStart map[endpointKey]float64   // start time of the upstream in the last update
 	recentAttempts map[string][]fake.Attempt // by upstream
-	tallies        map[string]*tally         // by balancer process
+	processCounts  map[string]*processCounts // by balancer process
 }
 
-// Counts is how often a run recorded each event. The JSON names are stored in reports.
+// Counts has the number of recorded events of each kind. The JSON names are stored in reports and must not change.
 type Counts struct {
 	Requests           int `json:"Asked"`
 	Served             int
 	Rejected           int `json:"Refused"`
 	Failed             int
 	NoResponse         int `json:"NoAnswer"`
-	Exempt             int `json:"Excused"` // without a response, for a reason that violates no rule
+	Exempt             int `json:"Excused"` // requests without a response that violate no rule, for example because the balancer was killed
 	Attempts           int
 	Executed           int `json:"Ran"`
-	Duplicates         int `json:"Repeated"`
+	Duplicates         int `json:"Repeated"` // requests that upstreams dropped because they had executed the idempotency key
 	MalformedInputs    int `json:"Rude"`
-	UnannouncedCrashes int `json:"FellUntold"` // of warming upstreams whose start the balancers did not know
+	UnannouncedCrashes int `json:"FellUntold"` // crashes of warming upstreams whose start had not been announced to the balancers
 }
 
 // Add adds the counts of another run.
@@ -117,17 +120,17 @@
 		limits:         limits,
 		environment:    environment,
 		requests:       map[string]*request{},
-		produced:       map[string][]string{},
-		executions:     map[string][]string{},
-		drainingSince:  map[endpointView]float64{},
-		disabledSince:  map[endpointView]float64{},
-		announcedStart: map[endpointView]float64{},
+		producedBodies: map[string][]string{},
+		executionSites: map[string][]string{},
+		drainingSince:  map[endpointKey]float64{},
+		disabledSince:  map[endpointKey]float64{},
+		announcedStart: map[endpointKey]float64{},
 		recentAttempts: map[string][]fake.Attempt{},
-		tallies:        map[string]*tally{},
+		processCounts:  map[string]*processCounts{},
 	}
 }
 
-// Report adds a violation.
+// Report adds a violation that occurred at the given time. It does nothing if the run already has maxViolations.
 func (c *Checker) Report(rule names.Rule, at float64, format string, args ...any) {
 	if len(c.Violations) >= maxViolations {
 		return
@@ -135,25 +138,28 @@
 	c.Violations = append(c.Violations, Violation{Rule: rule, At: at - c.limits.StartedAt, Text: fmt.Sprintf(format, args...)})
 }
 
-// mayRejectExecuted reports whether a request of a class may be rejected although it ran: a retry does no harm then.
+// mayRejectExecuted reports whether a request of a class may be rejected although it was executed.
+// It may be rejected if a retry by the client does no harm: the request is idempotent, or all upstreams share its idempotency keys.
 func (c *Checker) mayRejectExecuted(class int) bool {
 	rules := c.limits.Classes[class]
 	return rules.Idempotency == balance.Idempotent ||
 		rules.Idempotency == balance.WithIdempotencyKey && rules.DeduplicationScope == balance.ScopeAll
 }
 
-// responseLimit returns until when a request whose outcome came at the given time had to get its response. A balancer
-// without CPU at the deadline can only respond once it has it back.
-func (c *Checker) responseLimit(r *request, at float64) float64 {
-	resumed := c.environment.LastResume(r.Balancer, r.Deadline-maxEarlyResponseMS, at)
+// responseDueAt returns the latest time at which the response to a request has to arrive at the client.
+// The parameter at is the time at which the response arrived or the client stopped waiting for it.
+// A balancer that is stalled at the deadline can respond only after the stall.
+func (c *Checker) responseDueAt(r *request, at float64) float64 {
+	resumed := c.environment.LastResume(r.Balancer, r.Deadline-earlyResponseMarginMS, at)
 	return max(r.Deadline, resumed) + c.limits.ToleranceMS + c.environment.MaxTransitMS(r.Balancer, r.Client)
 }
 
+// exempt reports whether a request's balancer was killed or unreachable from the client between the sending of the request and the parameter at.
 func (c *Checker) exempt(r *request, at float64) bool {
 	return c.environment.Exempt(r.Balancer, r.Client, r.SentAt, at)
 }
 
-// isRejection reports whether a status tells a client that its request was not executed.
+// isRejection reports whether an HTTP status tells a client that its request was not executed.
 func isRejection(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
--- a/internal/simulation/checker/checker_test.go
+++ b/internal/simulation/checker/checker_test.go
@@ -7,7 +7,8 @@
 	"salttrack/internal/simulation/names"
 )
 
-var body = []byte("made")
+// body is the response body of an upstream.
+var body = []byte("body")
 
 func TestResponseRules(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
@@ -17,15 +18,15 @@
 			c.ResponseProduced("a", body)
 			c.ResponseReceived(fake.Response{RequestID: "a", Status: 200, Body: body, At: 120})
 		}},
-		{"late", names.LateResponse, testEnvironment{}, func(c *Checker) { respond(c, "a", 502, 1151) }},
-		{"late within the tolerance", "", testEnvironment{}, func(c *Checker) { respond(c, "a", 502, 1149) }},
-		{"late without CPU", "", testEnvironment{lastResume: 1400}, func(c *Checker) { respond(c, "a", 502, 1440) }},
-		{"late after it got its CPU back", names.LateResponse, testEnvironment{lastResume: 1400},
-			func(c *Checker) { respond(c, "a", 502, 1451) }},
-		{"late across a partition", "", testEnvironment{exempt: true}, func(c *Checker) { respond(c, "a", 502, 5000) }},
+		{"late", names.LateResponse, testEnvironment{}, func(c *Checker) { receiveResponse(c, "a", 502, 1151) }},
+		{"late within the tolerance", "", testEnvironment{}, func(c *Checker) { receiveResponse(c, "a", 502, 1149) }},
+		{"late because of a stall", "", testEnvironment{lastResume: 1400}, func(c *Checker) { receiveResponse(c, "a", 502, 1440) }},
+		{"late after the tolerance that follows a stall", names.LateResponse, testEnvironment{lastResume: 1400},
+			func(c *Checker) { receiveResponse(c, "a", 502, 1451) }},
+		{"late across a partition", "", testEnvironment{exempt: true}, func(c *Checker) { receiveResponse(c, "a", 502, 5000) }},
 		{"two responses", names.ExtraResponse, testEnvironment{}, func(c *Checker) {
-			respond(c, "a", 502, 200)
-			respond(c, "a", 503, 210)
+			receiveResponse(c, "a", 502, 200)
+			receiveResponse(c, "a", 503, 210)
 		}},
 		{"extra bytes", names.ExtraResponse, testEnvironment{}, func(c *Checker) { c.ExtraBytesReceived("b", []byte("x")) }},
 		{"response of another request", names.CrossedResponse, testEnvironment{}, func(c *Checker) {
@@ -40,7 +41,7 @@
 		{"timed out", names.LostRequest, testEnvironment{}, func(c *Checker) { c.ResponseTimedOut("a", 1500) }},
 		{"closed without a response", names.LostRequest, testEnvironment{},
 			func(c *Checker) { c.ConnectionLost(fake.ConnectionLoss{RequestID: "a", At: 200}) }},
-		{"crossed an idle close", "", testEnvironment{},
+		{"in transit when the idle connection was closed", "", testEnvironment{},
 			func(c *Checker) { c.ConnectionLost(fake.ConnectionLoss{RequestID: "a", At: 200, Reused: true}) }},
 		{"closed after an attempt", names.LostRequest, testEnvironment{}, func(c *Checker) {
 			receiveAttempt(c, "a", 110)
@@ -74,17 +75,17 @@
 		{"rejected after execution", names.FalseRejection, testEnvironment{}, func(c *Checker) {
 			sendRequest(c, "n", nonIdempotent)
 			execute(c, "n", "u", "east", 110)
-			respond(c, "n", 503, 200)
+			receiveResponse(c, "n", 503, 200)
 		}},
 		{"execution after rejection", names.FalseRejection, testEnvironment{}, func(c *Checker) {
 			sendRequest(c, "k", withKey)
-			respond(c, "k", 429, 200)
+			receiveResponse(c, "k", 429, 200)
 			executeWithKey(c, "k", "u", "east", 210)
 		}},
 		{"failed after execution", "", testEnvironment{}, func(c *Checker) {
 			sendRequest(c, "n", nonIdempotent)
 			execute(c, "n", "u", "east", 110)
-			respond(c, "n", 502, 200)
+			receiveResponse(c, "n", 502, 200)
 		}},
 	})
 }
@@ -92,14 +93,14 @@
 func TestAttemptRules(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
 		{"after the response", names.AttemptAfterResponse, testEnvironment{}, func(c *Checker) {
-			respond(c, "a", 503, 200)
+			receiveResponse(c, "a", 503, 200)
 			receiveAttempt(c, "a", 201)
 		}},
 		{"after the client cancelled", names.AttemptAfterResponse, testEnvironment{}, func(c *Checker) {
 			c.RequestCancelled("a", 200)
 			receiveAttempt(c, "a", 251)
 		}},
-		{"while the client cancels", "", testEnvironment{}, func(c *Checker) {
+		{"after the client cancelled, within the tolerance", "", testEnvironment{}, func(c *Checker) {
 			c.RequestCancelled("a", 200)
 			receiveAttempt(c, "a", 249)
 		}},
@@ -118,34 +119,34 @@
 func TestUpstreamRules(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
 		{"sent to a draining upstream", names.DrainingUpstreamUsed, testEnvironment{}, func(c *Checker) {
-			update(c, "b.1", fake.Terminating, 0, 100)
+			sendUpdate(c, "b.1", fake.Terminating, 0, 100)
 			receiveAttempt(c, "a", 401)
 		}},
 		{"sent within the grace period", "", testEnvironment{}, func(c *Checker) {
-			update(c, "b.1", fake.Terminating, 0, 100)
+			sendUpdate(c, "b.1", fake.Terminating, 0, 100)
 			receiveAttempt(c, "a", 399)
 		}},
-		{"gone after it drained", names.DrainingUpstreamUsed, testEnvironment{}, func(c *Checker) {
-			update(c, "b.1", fake.Terminating, 0, 100)
-			update(c, "b.1", fake.Terminated, 0, 300)
+		{"sent to an upstream that drained and terminated", names.DrainingUpstreamUsed, testEnvironment{}, func(c *Checker) {
+			sendUpdate(c, "b.1", fake.Terminating, 0, 100)
+			sendUpdate(c, "b.1", fake.Terminated, 0, 300)
 			receiveAttempt(c, "a", 420)
 		}},
 		{"back in service", "", testEnvironment{}, func(c *Checker) {
-			update(c, "b.1", fake.Terminating, 0, 100)
-			update(c, "b.1", fake.InService, 200, 300)
+			sendUpdate(c, "b.1", fake.Terminating, 0, 100)
+			sendUpdate(c, "b.1", fake.InService, 200, 300)
 			receiveAttempt(c, "a", 900)
 		}},
 		{"another balancer was informed", "", testEnvironment{}, func(c *Checker) {
-			update(c, "b.2", fake.Terminating, 0, 100)
+			sendUpdate(c, "b.2", fake.Terminating, 0, 100)
 			receiveAttempt(c, "a", 900)
 		}},
 		{"warming upstream overloaded", names.WarmingUpstreamCrashed, testEnvironment{}, func(c *Checker) {
-			update(c, "b.1", fake.InService, 100, 105)
+			sendUpdate(c, "b.1", fake.InService, 100, 105)
 			receiveAttempt(c, "a", 110)
 			c.WarmingUpstreamCrashed("u", 100, 120)
 		}},
 		{"warming upstream overloaded, start not announced", "", testEnvironment{}, func(c *Checker) {
-			update(c, "b.1", fake.InService, 0, 50)
+			sendUpdate(c, "b.1", fake.InService, 0, 50)
 			receiveAttempt(c, "a", 110)
 			c.WarmingUpstreamCrashed("u", 100, 120)
 		}},
@@ -154,30 +155,30 @@
 
 func TestMalformedInputRule(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
-		{"served", names.MalformedInputAccepted, testEnvironment{}, func(c *Checker) { malformedInput(c, "noise", 200, 10) }},
+		{"served", names.MalformedInputAccepted, testEnvironment{}, func(c *Checker) { handleMalformedInput(c, "noise", 200, 10) }},
 		{"connection left open", names.MalformedInputAccepted, testEnvironment{},
-			func(c *Checker) { malformedInput(c, "silent", fake.StatusNoReply, 4500) }},
+			func(c *Checker) { handleMalformedInput(c, "silent", fake.StatusNoReply, 4500) }},
 		{"rejected or closed", "", testEnvironment{}, func(c *Checker) {
-			malformedInput(c, "noise", 400, 10)
-			malformedInput(c, "silent", fake.StatusClosed, 2500)
+			handleMalformedInput(c, "noise", 400, 10)
+			handleMalformedInput(c, "silent", fake.StatusClosed, 2500)
 		}},
 	})
 }
 
 func TestCounterRule(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
-		{"other outcome counted", names.CounterMismatch, testEnvironment{}, func(c *Checker) {
-			respond(c, "a", 503, 200)
-			exit(c, map[string]uint64{counterAccepted: 1, counterServed: 1})
+		{"counted with another outcome", names.CounterMismatch, testEnvironment{}, func(c *Checker) {
+			receiveResponse(c, "a", 503, 200)
+			exitBalancer(c, map[string]uint64{counterAccepted: 1, counterServed: 1})
 		}},
-		{"response in transit", "", testEnvironment{}, func(c *Checker) {
+		{"response pending at the exit", "", testEnvironment{}, func(c *Checker) {
 			sendRequest(c, "slow", idempotent)
-			respond(c, "a", 503, 200)
-			exit(c, map[string]uint64{counterAccepted: 2, counterServed: 1, counterRejected: 1})
+			receiveResponse(c, "a", 503, 200)
+			exitBalancer(c, map[string]uint64{counterAccepted: 2, counterServed: 1, counterRejected: 1})
 		}},
-		{"equal", "", testEnvironment{}, func(c *Checker) {
-			respond(c, "a", 503, 200)
-			exit(c, map[string]uint64{counterAccepted: 1, counterRejected: 1})
+		{"counters equal to the records", "", testEnvironment{}, func(c *Checker) {
+			receiveResponse(c, "a", 503, 200)
+			exitBalancer(c, map[string]uint64{counterAccepted: 1, counterRejected: 1})
 		}},
 	})
 }
--- a/internal/simulation/checker/clients.go
+++ b/internal/simulation/checker/clients.go
@@ -8,77 +8,82 @@
 	"salttrack/internal/simulation/names"
 )
 
-// malformedInputTimeout is how long a balancer has to reject malformed input or close its connection.
+// malformedInputTimeout is the time in ms within which a balancer has to reject malformed input or close its connection.
 const malformedInputTimeout = 3000.0
 
-// RequestSent adds a request.
+// RequestSent adds a request. A request that the client sent again on another connection updates its first record.
 func (c *Checker) RequestSent(sent fake.Request) {
-	c.tally(sent.Balancer).requests++
-	known := c.requests[sent.ID]
-	if known != nil && sent.Resent {
-		known.Request = sent
-		known.cancelledAt = 0
+	c.countsOf(sent.Balancer).requests++
+	existing := c.requests[sent.ID]
+	if existing != nil && sent.Resent {
+		existing.Request = sent
+		existing.cancelledAt = 0
 		return
 	}
-	if known != nil {
-		c.Report(names.UnknownRequest, sent.SentAt, "error of the simulator: request ID %s was used twice", sent.ID)
+	if existing != nil {
+		c.Report(names.UnknownRequest, sent.SentAt, "simulator error: request ID %s was used twice", sent.ID)
 	}
 	c.requests[sent.ID] = &request{Request: sent}
 	c.Counts.Requests++
 }
 
-// ResponseReceived checks a complete response.
+// ResponseReceived records a complete response, and checks its status, body and time.
 func (c *Checker) ResponseReceived(response fake.Response) {
 	r := c.requests[response.RequestID]
-	if r.answered {
+	if r.responded {
 		c.Report(names.ExtraResponse, response.At, "%s got status %d after status %d", r.ID, response.Status, r.status)
 		return
 	}
-	r.answered = true
+	r.responded = true
 	r.status = response.Status
-	r.answeredAt = response.At
+	r.respondedAt = response.At
 	c.checkOutcome(r, response)
 	c.checkDeadline(r)
 }
 
-// checkOutcome counts a response and checks that its status is true.
+// checkOutcome counts a response.
+// It checks that a response with status 200 has a body that an upstream produced for the request.
+// It also checks that a rejected request was not executed, unless its class allows that.
 func (c *Checker) checkOutcome(r *request, response fake.Response) {
-	tally := c.tally(r.Balancer)
+	counts := c.countsOf(r.Balancer)
 	switch {
 	case r.status == http.StatusOK:
 		c.Counts.Served++
-		tally.served++
-		if produced := c.produced[r.ID]; !slices.Contains(produced, string(response.Body)) {
+		counts.served++
+		if produced := c.producedBodies[r.ID]; !slices.Contains(produced, string(response.Body)) {
 			c.Report(names.CrossedResponse, response.At, "%s got %.60q, which no upstream produced for it (produced: %.60q)",
 				r.ID, response.Body, produced)
 		}
 	case isRejection(r.status):
 		c.Counts.Rejected++
-		tally.rejected++
+		counts.rejected++
 		if r.executions > 0 && !c.mayRejectExecuted(r.Class) {
 			c.Report(names.FalseRejection, response.At, "%s of class %d was rejected after its execution", r.ID, r.Class)
 		}
 	default:
 		c.Counts.Failed++
-		tally.failed++
+		counts.failed++
 	}
 }
 
-// checkDeadline checks that a response came in time. Behind another response, or at a slow reader, it may wait for long.
+// checkDeadline checks that a response arrived by the deadline.
+// Pipelined requests and slow readers are exempt: the response may wait behind an earlier response or for the reader.
 func (c *Checker) checkDeadline(r *request) {
-	if r.Pipelined || r.ReadSlowly || r.answeredAt <= c.responseLimit(r, r.answeredAt) || c.exempt(r, r.answeredAt) {
+	if r.Pipelined || r.ReadSlowly || r.respondedAt <= c.responseDueAt(r, r.respondedAt) || c.exempt(r, r.respondedAt) {
 		return
 	}
-	c.Report(names.LateResponse, r.answeredAt, "%s (%s) got status %d from %s %.1f ms after its deadline", r.ID, r.RootID,
-		r.status, r.Balancer, r.answeredAt-r.Deadline)
+	c.Report(names.LateResponse, r.respondedAt, "%s (%s) got status %d from %s %.1f ms after its deadline", r.ID, r.RootID,
+		r.status, r.Balancer, r.respondedAt-r.Deadline)
 }
 
-// ExtraBytesReceived reports bytes that belong to no response.
+// ExtraBytesReceived reports bytes that a client received but that belong to no response.
 func (c *Checker) ExtraBytesReceived(balancer string, data []byte) {
 	c.Report(names.ExtraResponse, c.limits.StartedAt, "%s sent %.60q without a request", balancer, data)
 }
 
-// ConnectionLost checks a request whose connection closed before its response.
+// ConnectionLost checks a request whose connection was closed before its complete response.
+// The loss is allowed if the balancer made no attempt for the request and may have closed the connection while the request was in transit.
+// That is possible if the connection had served a request before, or if the request was pipelined.
 func (c *Checker) ConnectionLost(loss fake.ConnectionLoss) {
 	r := c.requests[loss.RequestID]
 	c.countNoResponse(r)
@@ -93,18 +98,19 @@
 	}
 }
 
-// RequestCancelled records a cancelled request.
+// RequestCancelled records that a client cancelled a request.
 func (c *Checker) RequestCancelled(requestID string, at float64) {
 	r := c.requests[requestID]
 	r.cancelledAt = at
 	c.countNoResponse(r)
 }
 
-// ResponseTimedOut checks a request whose client stopped waiting for a response.
+// ResponseTimedOut checks a request whose client stopped waiting for the response.
+// The timeout is a violation unless the balancer is exempt, the response was not due yet, or the client pipelined the request or reads slowly.
 func (c *Checker) ResponseTimedOut(requestID string, at float64) {
 	r := c.requests[requestID]
 	c.countNoResponse(r)
-	if r.Pipelined || r.ReadSlowly || c.exempt(r, at) || at < c.responseLimit(r, at) {
+	if r.Pipelined || r.ReadSlowly || c.exempt(r, at) || at < c.responseDueAt(r, at) {
 		c.Counts.Exempt++
 		return
 	}
@@ -112,12 +118,13 @@
 		at-r.Deadline, r.attempts)
 }
 
+// countNoResponse counts a request that ended without a complete response.
 func (c *Checker) countNoResponse(r *request) {
 	c.Counts.NoResponse++
-	c.tally(r.Balancer).noResponse++
+	c.countsOf(r.Balancer).noResponse++
 }
 
-// MalformedInputHandled checks that malformed input was rejected, or its connection closed, in time.
+// MalformedInputHandled checks that a balancer rejected malformed input or closed its connection within malformedInputTimeout.
 func (c *Checker) MalformedInputHandled(result fake.MalformedInputResult) {
 	c.Counts.MalformedInputs++
 	if result.Status >= http.StatusOK && result.Status < http.StatusBadRequest {
@@ -129,7 +136,7 @@
 		return
 	}
 	limit := result.StartedAt + malformedInputTimeout
-	limit = max(limit, c.environment.LastResume(result.Balancer, limit-maxEarlyResponseMS, result.At)) + c.limits.ToleranceMS
+	limit = max(limit, c.environment.LastResume(result.Balancer, limit-earlyResponseMarginMS, result.At)) + c.limits.ToleranceMS
 	if result.At > limit {
 		c.Report(names.MalformedInputAccepted, result.At, "%s neither rejected %s nor closed the connection within %.0f ms",
 			result.Balancer, result.Input, result.At-result.StartedAt)
--- a/internal/simulation/checker/counters.go
+++ b/internal/simulation/checker/counters.go
@@ -2,63 +2,69 @@
 
 import "salttrack/internal/simulation/names"
 
-// Counters of a balancer that are compared with the records.
+// Names of the balancer's counters that are compared with the records.
 const (
 	counterAccepted         = "requests_accepted"
 	counterServed           = "requests_served"
 	counterRejected         = "requests_rejected"
-	counterRejectedOverflow = "client_overflow_rejected" // connections beyond the limit, rejected without a request
+	counterRejectedOverflow = "client_overflow_rejected" // connections above the connection limit; the balancer rejects them without reading a request
 	counterFailed           = "requests_failed"
 	counterAbandoned        = "requests_abandoned"
 	counterInProgress       = "requests_in_progress"
 	counterAttempts         = "attempts"
 )
 
-// tally is what clients and upstreams recorded of one balancer process.
-type tally struct {
-	requests   int
-	served     int
-	rejected   int
-	failed     int
-	noResponse int
-	attempts   int
+// processCounts are the counts of one balancer process, as clients and upstreams recorded them.
+type processCounts struct {
+	requests   int // requests that clients sent
+	served     int // responses with status 200
+	rejected   int // responses with status 429 or 503
+	failed     int // responses with any other status
+	noResponse int // requests that ended without a complete response
+	attempts   int // attempts that upstreams received
 }
 
-func (c *Checker) tally(balancer string) *tally {
-	t := c.tallies[balancer]
-	if t == nil {
-		t = &tally{}
-		c.tallies[balancer] = t
+// countsOf returns the counts of a balancer process. It adds them if there are none yet.
+func (c *Checker) countsOf(balancer string) *processCounts {
+	p := c.processCounts[balancer]
+	if p == nil {
+		p = &processCounts{}
+		c.processCounts[balancer] = p
 	}
-	return t
+	return p
 }
 
-// pending returns how many requests have no outcome yet. A slow reader may get its response after the balancer's exit.
-func (t *tally) pending() int { return t.requests - t.served - t.rejected - t.failed - t.noResponse }
+// pending returns the number of requests that have no outcome yet.
+// A client that reads slowly may receive its response after the balancer's exit.
+func (p *processCounts) pending() int {
+	return p.requests - p.served - p.rejected - p.failed - p.noResponse
+}
 
-// BalancerExited compares the counters of a balancer that has shut down with the records.
+// BalancerExited compares the counters of a balancer process that has shut down with the records.
+// It also checks that each request that the balancer counted as accepted has an outcome.
 func (c *Checker) BalancerExited(balancer string, at float64, counter func(name string) uint64) {
 	value := func(name string) int { return int(counter(name)) }
 	finished := value(counterServed) + value(counterRejected) + value(counterFailed) + value(counterAbandoned)
 	if value(counterAccepted) != finished || value(counterInProgress) != 0 {
-		c.Report(names.CounterMismatch, at, "%s: accepted %d, finished %d, open %d", balancer, value(counterAccepted), finished,
-			value(counterInProgress))
+		c.Report(names.CounterMismatch, at, "%s counts %d requests as accepted, %d as finished and %d as in progress", balancer,
+			value(counterAccepted), finished, value(counterInProgress))
 	}
-	t := c.tally(balancer)
-	c.compareResponses(balancer, at, "served", t.served, value(counterServed))
-	c.compareResponses(balancer, at, "rejected", t.rejected, value(counterRejected)+value(counterRejectedOverflow))
-	if counted := value(counterAttempts); t.attempts > counted {
-		c.Report(names.CounterMismatch, at, "%s counts %d attempts, upstreams received %d", balancer, counted, t.attempts)
+	p := c.countsOf(balancer)
+	c.compareResponses(balancer, at, "served", p.served, value(counterServed))
+	c.compareResponses(balancer, at, "rejected", p.rejected, value(counterRejected)+value(counterRejectedOverflow))
+	if counted := value(counterAttempts); p.attempts > counted {
+		c.Report(names.CounterMismatch, at, "%s counts %d attempts; upstreams received %d", balancer, counted, p.attempts)
 	}
 }
 
-// compareResponses compares how many responses of a kind a balancer counted with how many its clients received. Those
-// without a recorded outcome may be of any kind.
+// compareResponses compares the number of responses of one kind that a balancer counted with the number that its clients received.
+// The balancer may have counted a pending request, or one without a response, as any kind.
 func (c *Checker) compareResponses(balancer string, at float64, kind string, received, counted int) {
-	t := c.tally(balancer)
-	if received <= counted && counted <= received+t.noResponse+t.pending() {
+	p := c.countsOf(balancer)
+	if received <= counted && counted <= received+p.noResponse+p.pending() {
 		return
 	}
-	c.Report(names.CounterMismatch, at, "%s counts %d %s; clients received %d, %d got no response, %d are pending", balancer,
-		counted, kind, received, t.noResponse, t.pending())
+	c.Report(names.CounterMismatch, at,
+		"%s counts %d requests as %s; clients received %d such responses, %d requests got no response, %d are pending",
+		balancer, counted, kind, received, p.noResponse, p.pending())
 }
--- a/internal/simulation/checker/discovery.go
+++ b/internal/simulation/checker/discovery.go
@@ -2,28 +2,30 @@
 
 import "salttrack/internal/simulation/fake"
 
-// EndpointUpdateSent records what a balancer was informed of. Of a draining upstream the first update counts.
+// EndpointUpdateSent records an endpoint update that discovery sent to a balancer.
+// The grace period of a draining upstream starts at the first update that reports it as terminating or terminated.
 func (c *Checker) EndpointUpdateSent(update fake.EndpointUpdate) {
-	view := endpointView{update.Balancer, update.Upstream}
-	c.announcedStart[view] = update.StartedAt
+	key := endpointKey{update.Balancer, update.Upstream}
+	c.announcedStart[key] = update.StartedAt
 	if update.Phase == fake.InService {
-		delete(c.drainingSince, view)
+		delete(c.drainingSince, key)
 		return
 	}
-	if _, draining := c.drainingSince[view]; !draining {
-		c.drainingSince[view] = update.At
+	if _, draining := c.drainingSince[key]; !draining {
+		c.drainingSince[key] = update.At
 	}
 }
 
-// UpstreamDisabled records that a balancer has confirmed an operator's order to disable an upstream.
+// UpstreamDisabled records that a balancer process has confirmed an operator's override that disables an upstream.
 func (c *Checker) UpstreamDisabled(balancer, upstream string, at float64) {
-	view := endpointView{balancer, upstream}
-	if _, disabled := c.disabledSince[view]; !disabled {
-		c.disabledSince[view] = at
+	key := endpointKey{balancer, upstream}
+	if _, disabled := c.disabledSince[key]; !disabled {
+		c.disabledSince[key] = at
 	}
 }
 
-// UpstreamEnabled records that operators are about to enable an upstream again.
+// UpstreamEnabled records that an operator is about to enable an upstream at a balancer process again.
+// It is called before the override is sent, because attempts may follow the override at once.
 func (c *Checker) UpstreamEnabled(balancer, upstream string) {
-	delete(c.disabledSince, endpointView{balancer, upstream})
+	delete(c.disabledSince, endpointKey{balancer, upstream})
 }
--- a/internal/simulation/checker/helpers_test.go
+++ b/internal/simulation/checker/helpers_test.go
@@ -8,7 +8,7 @@
 	"salttrack/internal/simulation/names"
 )
 
-// testEnvironment exempts nothing but what a test sets.
+// testEnvironment is an Environment that returns fixed values. Its zero value exempts no request.
 type testEnvironment struct {
 	lastResume float64
 	exempt     bool
@@ -18,28 +18,28 @@
 func (e testEnvironment) Exempt(string, string, float64, float64) bool { return e.exempt }
 func (e testEnvironment) MaxTransitMS(string, string) float64          { return 0 }
 
-// The classes of the tests.
+// Classes of the requests in the tests, as indexes of Limits.Classes.
 const (
 	idempotent = iota
 	withKey
 	nonIdempotent
 )
 
-// Times of the requests in the tests, in ms.
+// Sending time and deadline of all requests in the tests, in ms.
 const (
 	requestSentAt   = 100
 	requestDeadline = 1100
 )
 
-// checkerTest is one sequence of records, made after the client of request "a" has sent it.
+// checkerTest records a sequence of events and names the rule that they violate.
 type checkerTest struct {
 	name        string
-	rule        names.Rule // the only one that is violated, "" for none
+	rule        names.Rule // the only rule that is violated; "" if none is
 	environment testEnvironment
-	record      func(c *Checker)
+	record      func(c *Checker) // called after the idempotent request "a" has been sent
 }
 
-// newTestChecker returns a checker that knows the idempotent request "a".
+// newTestChecker returns a checker that has recorded the sending of the idempotent request "a".
 func newTestChecker(environment testEnvironment) *Checker {
 	c := New(Limits{
 		MaxAttempts:  2,
@@ -56,6 +56,7 @@
 	return c
 }
 
+// runCheckerTests runs each test and compares the rule that is violated with the expected one.
 func runCheckerTests(t *testing.T, tests []checkerTest) {
 	t.Helper()
 	for _, tt := range tests {
@@ -65,12 +66,12 @@
 			violated := names.Rule("")
 			for _, violation := range c.Violations {
 				if violated != "" && violated != violation.Rule {
-					t.Errorf("also violated: %s", violation)
+					t.Errorf("another rule is violated too: %s", violation)
 				}
 				violated = violation.Rule
 			}
 			if violated != tt.rule {
-				t.Errorf("violated %q, want %q: %v", violated, tt.rule, c.Violations)
+				t.Errorf("violated rule %q, want %q; violations: %v", violated, tt.rule, c.Violations)
 			}
 		})
 	}
@@ -89,7 +90,7 @@
 	})
 }
 
-func respond(c *Checker, id string, status int, at float64) {
+func receiveResponse(c *Checker, id string, status int, at float64) {
 	c.ResponseReceived(fake.Response{RequestID: id, Status: status, At: at})
 }
 
@@ -105,14 +106,14 @@
 	c.RequestExecuted(fake.Execution{RequestID: id, Upstream: upstream, Zone: zone, IdempotencyKey: "k-" + id, At: at})
 }
 
-func update(c *Checker, balancer string, phase fake.Phase, startedAt, at float64) {
+func sendUpdate(c *Checker, balancer string, phase fake.Phase, startedAt, at float64) {
 	c.EndpointUpdateSent(fake.EndpointUpdate{Balancer: balancer, Upstream: "u", Phase: phase, StartedAt: startedAt, At: at})
 }
 
-func malformedInput(c *Checker, input string, status int, at float64) {
+func handleMalformedInput(c *Checker, input string, status int, at float64) {
 	c.MalformedInputHandled(fake.MalformedInputResult{Input: input, Balancer: "b", Status: status, At: at})
 }
 
-func exit(c *Checker, counters map[string]uint64) {
+func exitBalancer(c *Checker, counters map[string]uint64) {
 	c.BalancerExited("b.1", 300, func(name string) uint64 { return counters[name] })
 }
--- a/internal/simulation/checker/upstreams.go
+++ b/internal/simulation/checker/upstreams.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	maxRecentAttempts  = 200    // kept of an upstream
-	recentAttemptsSpan = 5000.0 // ms for which they are kept
+	maxRecentAttempts  = 200    // most attempts that are stored for each upstream
+	recentAttemptsSpan = 5000.0 // how long an attempt is stored, in ms
 
-	// exactTolerance is the tolerance in ms for attempts after the final response, if recorded times are exact.
-	exactTolerance = 0.05
+	// exactTimesTolerance is the tolerance in ms for an attempt after the final response, if the recorded times are exact.
+	exactTimesTolerance = 0.05
 
-	// announcedStartTolerance is how much the announced start of an upstream may differ from the real one, in ms.
+	// announcedStartTolerance is the greatest difference in ms between the announced and the real start of an upstream.
 	announcedStartTolerance = 1
 )
 
-// AttemptReceived checks an attempt.
+// AttemptReceived records an attempt that an upstream received.
+// It checks that the attempt is well-formed, that a client sent its request, and that the balancer was allowed to make the attempt.
 func (c *Checker) AttemptReceived(attempt fake.Attempt) {
 	if attempt.Malformed {
 		c.Report(names.MalformedRequest, attempt.FirstByteAt, "%s sent %s a request that can't be parsed", attempt.Balancer,
@@ -27,23 +28,26 @@
 		return
 	}
 	c.Counts.Attempts++
-	c.tally(attempt.Balancer).attempts++
+	c.countsOf(attempt.Balancer).attempts++
 	c.addRecentAttempt(attempt)
-	c.checkUpstreamUsable(attempt)
+	c.checkUpstreamAvailable(attempt)
 	r := c.requests[attempt.RequestID]
 	if r == nil {
-		c.Report(names.UnknownRequest, attempt.LastByteAt, "%s sent %q to %s, which no client requested", attempt.Balancer,
-			attempt.RequestID, attempt.Upstream)
+		c.Report(names.UnknownRequest, attempt.LastByteAt, "%s sent request %q to %s, but no client sent this request",
+			attempt.Balancer, attempt.RequestID, attempt.Upstream)
 		return
 	}
 	r.attempts++
 	if r.attempts > c.limits.MaxAttempts {
-		c.Report(names.TooManyAttempts, attempt.LastByteAt, "%s: attempt %d of %d", r.ID, r.attempts, c.limits.MaxAttempts)
+		c.Report(names.TooManyAttempts, attempt.LastByteAt, "%s: attempt %d, but at most %d are allowed", r.ID, r.attempts,
+			c.limits.MaxAttempts)
 	}
-	c.checkNotAnswered(r, attempt)
-	c.checkNotCancelled(r, attempt)
+	c.checkNoResponseBefore(r, attempt)
+	c.checkNotCancelledBefore(r, attempt)
 }
 
+// addRecentAttempt stores an attempt.
+// It removes the oldest attempts of the same upstream that exceed maxRecentAttempts or recentAttemptsSpan.
 func (c *Checker) addRecentAttempt(attempt fake.Attempt) {
 	list := append(c.recentAttempts[attempt.Upstream], attempt)
 	for len(list) > maxRecentAttempts || list[0].LastByteAt < attempt.LastByteAt-recentAttemptsSpan {
@@ -52,62 +56,66 @@
 	c.recentAttempts[attempt.Upstream] = list
 }
 
-// checkUpstreamUsable checks that the upstream of an attempt was neither draining nor disabled at the balancer.
-func (c *Checker) checkUpstreamUsable(attempt fake.Attempt) {
-	view := endpointView{attempt.Balancer, attempt.Upstream}
+// checkUpstreamAvailable checks that the upstream of an attempt was not draining or disabled, as far as the balancer had been informed.
+func (c *Checker) checkUpstreamAvailable(attempt fake.Attempt) {
+	key := endpointKey{attempt.Balancer, attempt.Upstream}
 	sentAt := attempt.FirstByteAt
-	if since, draining := c.drainingSince[view]; draining {
+	if since, draining := c.drainingSince[key]; draining {
 		limit := max(since+c.limits.DrainGraceMS, c.environment.LastResume(attempt.Balancer, since, sentAt)) + c.limits.ToleranceMS
 		if sentAt > limit {
-			c.Report(names.DrainingUpstreamUsed, sentAt, "%s sent %s to %s %.0f ms after the update that it drains or is gone",
+			c.Report(names.DrainingUpstreamUsed, sentAt,
+				"%s sent %s to %s %.0f ms after an endpoint update that reported the upstream as terminating or terminated",
 				attempt.Balancer, attempt.RequestID, attempt.Upstream, sentAt-since)
 		}
 	}
-	if since, disabled := c.disabledSince[view]; disabled && sentAt > since+c.limits.ToleranceMS {
-		c.Report(names.DisabledUpstreamUsed, sentAt, "%s sent %s to %s %.0f ms after it confirmed that it is disabled",
+	if since, disabled := c.disabledSince[key]; disabled && sentAt > since+c.limits.ToleranceMS {
+		c.Report(names.DisabledUpstreamUsed, sentAt, "%s sent %s to %s %.0f ms after it confirmed that it disabled the upstream",
 			attempt.Balancer, attempt.RequestID, attempt.Upstream, sentAt-since)
 	}
 }
 
-// checkNotAnswered checks that an attempt did not begin after the final response.
-func (c *Checker) checkNotAnswered(r *request, attempt fake.Attempt) {
-	tolerance := exactTolerance
+// checkNoResponseBefore checks that an attempt did not begin after the final response to its request.
+func (c *Checker) checkNoResponseBefore(r *request, attempt fake.Attempt) {
+	tolerance := exactTimesTolerance
 	if !c.limits.ExactTimes {
 		tolerance = c.limits.ToleranceMS
 	}
-	if r.answered && attempt.FirstByteAt > r.answeredAt+tolerance {
+	if r.responded && attempt.FirstByteAt > r.respondedAt+tolerance {
 		c.Report(names.AttemptAfterResponse, attempt.FirstByteAt, "%s sent %s to %s %.1f ms after its final response %d",
-			attempt.Balancer, r.ID, attempt.Upstream, attempt.FirstByteAt-r.answeredAt, r.status)
+			attempt.Balancer, r.ID, attempt.Upstream, attempt.FirstByteAt-r.respondedAt, r.status)
 	}
 }
 
-// checkNotCancelled checks that an attempt did not begin after the balancer could know that the client cancelled.
-func (c *Checker) checkNotCancelled(r *request, attempt fake.Attempt) {
+// checkNotCancelledBefore checks that an attempt did not begin after the balancer learned that the client had cancelled the request.
+// The balancer learns of the cancellation after the longest transit time, or at the end of a stall if that is later.
+func (c *Checker) checkNotCancelledBefore(r *request, attempt fake.Attempt) {
 	if r.cancelledAt == 0 || !c.limits.ExactTimes {
 		return
 	}
 	sentAt := attempt.FirstByteAt
-	known := max(r.cancelledAt+c.environment.MaxTransitMS(r.Balancer, r.Client),
+	learnedAt := max(r.cancelledAt+c.environment.MaxTransitMS(r.Balancer, r.Client),
 		c.environment.LastResume(attempt.Balancer, r.cancelledAt, sentAt))
-	if sentAt > known+c.limits.ToleranceMS && !c.environment.Exempt(r.Balancer, r.Client, r.cancelledAt, sentAt) {
-		c.Report(names.AttemptAfterResponse, sentAt, "%s sent %s to %s %.1f ms after its client cancelled", attempt.Balancer,
-			r.ID, attempt.Upstream, sentAt-r.cancelledAt)
+	if sentAt > learnedAt+c.limits.ToleranceMS && !c.environment.Exempt(r.Balancer, r.Client, r.cancelledAt, sentAt) {
+		c.Report(names.AttemptAfterResponse, sentAt, "%s sent %s to %s %.1f ms after its client cancelled the request",
+			attempt.Balancer, r.ID, attempt.Upstream, sentAt-r.cancelledAt)
 	}
 }
 
-// RequestExecuted checks that a request that must run once has not run before, and was not rejected.
+// RequestExecuted records an execution at an upstream.
+// It checks that the request had not been rejected, unless its class allows the execution of rejected requests.
+// It also checks that a non-idempotent request, or an idempotency key, had not been executed before.
 func (c *Checker) RequestExecuted(execution fake.Execution) {
 	c.Counts.Executed++
 	r := c.requests[execution.RequestID]
 	if r == nil {
-		return // AttemptReceived has reported it
+		return // AttemptReceived has reported the unknown request
 	}
 	r.executions++
-	if r.answered && isRejection(r.status) && !c.mayRejectExecuted(r.Class) {
-		c.Report(names.FalseRejection, execution.At, "%s of class %d ran at %s after it was rejected", r.ID, r.Class,
+	if r.responded && isRejection(r.status) && !c.mayRejectExecuted(r.Class) {
+		c.Report(names.FalseRejection, execution.At, "%s of class %d was executed at %s after its rejection", r.ID, r.Class,
 			execution.Upstream)
 	}
-	var identity string // equal for executions of which only one is allowed
+	var identity string // only one execution is allowed for each value
 	switch c.limits.Classes[r.Class].Idempotency {
 	case balance.NonIdempotent:
 		identity = r.RootID
@@ -116,29 +124,31 @@
 	default:
 		return
 	}
-	if before := c.executions[identity]; len(before) > 0 {
-		c.Report(names.DuplicateExecution, execution.At, "%s (class %d) ran at %s after %s", identity, r.Class,
+	if before := c.executionSites[identity]; len(before) > 0 {
+		c.Report(names.DuplicateExecution, execution.At, "%s of class %d was executed at %s and before at %s", identity, r.Class,
 			execution.Upstream, strings.Join(before, ", "))
 	}
-	c.executions[identity] = append(c.executions[identity], execution.Upstream+" in "+execution.Zone)
+	c.executionSites[identity] = append(c.executionSites[identity], execution.Upstream+" in "+execution.Zone)
 }
 
-// DuplicateDropped counts a duplicate.
+// DuplicateDropped counts a request that an upstream dropped because it had executed the idempotency key.
 func (c *Checker) DuplicateDropped(string) { c.Counts.Duplicates++ }
 
-// ResponseProduced adds a body that may be the response to a request.
+// ResponseProduced records a response body that an upstream produced for a request.
 func (c *Checker) ResponseProduced(requestID string, body []byte) {
-	c.produced[requestID] = append(c.produced[requestID], string(body))
+	c.producedBodies[requestID] = append(c.producedBodies[requestID], string(body))
 }
 
-// WarmingUpstreamCrashed checks whether the balancers that sent the load knew that the upstream was warming up.
+// WarmingUpstreamCrashed handles the crash of an overloaded upstream that was warming up.
+// The crash is a violation if at least three quarters of the recent attempts came from balancers that were informed of the upstream's start.
+// Otherwise the crash is only counted, because the other balancers could not know that the upstream was warming up.
 func (c *Checker) WarmingUpstreamCrashed(upstream string, startedAt, at float64) {
 	informed, uninformed := 0, 0
 	for _, attempt := range c.recentAttempts[upstream] {
 		if attempt.LastByteAt < startedAt {
 			continue
 		}
-		if c.announcedStart[endpointView{attempt.Balancer, upstream}] >= startedAt-announcedStartTolerance {
+		if c.announcedStart[endpointKey{attempt.Balancer, upstream}] >= startedAt-announcedStartTolerance {
 			informed++
 		} else {
 			uninformed++
@@ -149,6 +159,6 @@
 		return
 	}
 	c.Report(names.WarmingUpstreamCrashed, at,
-		"%s crashed %.0f ms after its start; %d attempts came from balancers that were informed of the start, %d from others",
+		"%s crashed from overload %.0f ms after its start; %d attempts came from balancers that were informed of the start, %d from others",
 		upstream, at-startedAt, informed, uninformed)
 }
--- a/internal/simulation/cluster/balancer.go
+++ b/internal/simulation/cluster/balancer.go
@@ -17,7 +17,7 @@
 	balancersPerStart     = 5
 
 	restartDelay        = 100.0 // from an exit in order to the next start
-	minRestartNotice    = 200.0 // from SIGTERM until clients stop using the balancer
+	minRestartNoticeDelay    = 200.0 // from SIGTERM until clients stop using the balancer
 	restartNoticeJitter = 200.0
 	minAgentLag         = 1.0
 	maxAgentLag         = 60.0
@@ -45,7 +45,7 @@
 	agentMoves  int
 	process     balancerProcess // the last one
 	startCount  int
-	retunes     int           // how often its settings changed
+	settingsChanges     int           // how often its settings changed
 	killedSpans []simnet.Span // from each kill to the next start, 0 if there is none yet
 	terminating bool
 	down        bool
@@ -66,7 +66,7 @@
 	b.startAgent()
 	c.environment.start(b.agentHost)
 	delay := firstBalancerStart + balancerStartInterval*float64(number%balancersPerStart)
-	c.environment.schedule(c.loadStart-loadDelay+delay, names.BalancerStart+b.name, b.start)
+	c.environment.schedule(c.loadStart-loadStartDelay+delay, names.BalancerStart+b.name, b.start)
 	return b
 }
 
@@ -134,12 +134,12 @@
 	c := b.cluster
 	for _, pool := range c.balancerPools {
 		rng := randstream.New(c.scenario.Seed, names.RestartNoticeStream+b.name)
-		pool.ExpectRestart(b.name, minRestartNotice+rng.Float64()*restartNoticeJitter)
+		pool.ExpectRestart(b.name, minRestartNoticeDelay+rng.Float64()*restartNoticeJitter)
 	}
 	b.process.terminate()
 	signalledAt := c.now()
 	process := b.processName()
-	c.environment.schedule(signalledAt+c.earliestKill(), names.ExitDeadline+process, func() {
+	c.environment.schedule(signalledAt+c.earliestKillDelay(), names.ExitDeadline+process, func() {
 		b.checkExited(process, signalledAt)
 	})
 }
@@ -185,9 +185,9 @@
 	if b.down || b.terminating {
 		return
 	}
-	b.retunes++
+	b.settingsChanges++
 	config := b.config()
-	b.process.reload(config[:len(config)*(1+b.retunes%7)/8])
+	b.process.reload(config[:len(config)*(1+b.settingsChanges%7)/8])
 	b.process.reload(config)
 }
 
--- a/internal/simulation/cluster/balancer_config.go
+++ b/internal/simulation/cluster/balancer_config.go
@@ -10,7 +10,7 @@
 
 const (
 	settingsGranularityMS  = 5.0
-	promisedWarmUpFraction = 0.9 // fraction of a cold upstream's capacity that the settings promise
+	promisedCapacityFraction = 0.9 // fraction of a cold upstream's capacity that the settings promise
 	keepAliveMS            = 15000.0
 	connectTimeoutMS       = 250
 	maxRetryAfterMS        = 2000
@@ -122,13 +122,13 @@
 		Discovery:     "push",
 		GranularityMS: settingsGranularityMS,
 		Invariants: configInvariants{
-			StartCapacity:    promisedWarmUpFraction * s.WarmUpStartFraction,
+			StartCapacity:    promisedCapacityFraction * s.WarmUpStartFraction,
 			WarmUpMS:         s.WarmUpMS,
 			OverloadMultiple: overloadMultiple,
 			OverloadMS:       overloadDuration,
 		},
 		Limits: configRules{
-			MaxAttempts:      max(1, s.MaxAttempts-b.retunes%3),
+			MaxAttempts:      max(1, s.MaxAttempts-b.settingsChanges%3),
 			Cancel:           true,
 			Hedging:          true,
 			RetryAfter:       true,
@@ -165,12 +165,12 @@
 		}
 		list = append(list, entry)
 	}
-	if b.retunes == 0 {
+	if b.settingsChanges == 0 {
 		return list
 	}
-	first := b.retunes % len(list)
+	first := b.settingsChanges % len(list)
 	return append(slices.Concat(list[first:], list[:first]), configClass{
-		Name:               fmt.Sprint("extra-", b.retunes),
+		Name:               fmt.Sprint("extra-", b.settingsChanges),
 		LatencyObjectiveMS: 500,
 		DeadlineMS:         1000,
 		PriorityWeight:     1,
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/simulation/cluster/cluster.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	loadDelay        = 1000.0 // from the start to the first request
+	loadStartDelay        = 1000.0 // from the start to the first request
 	drainGracePeriod = 250.0  // for a balancer to stop using a draining upstream
-	timeTolerance    = 50.0   // added to each time limit of the checker
+	checkerTolerance    = 50.0   // added to each time limit of the checker
 )
 
 // cluster is one run of a scenario. It owns all its processes, which end with its environment. Its methods are called
@@ -46,7 +46,7 @@
 		classes:        classesOf(s.Cluster),
 		clientBehavior: fake.ClientBehavior{RateFactor: 1},
 	}
-	c.loadStart = e.now() + loadDelay
+	c.loadStart = e.now() + loadStartDelay
 	c.loadEnd = c.loadStart + s.Seconds*1000
 	c.checker = checker.New(c.limits(), c)
 	return c
@@ -58,7 +58,7 @@
 		StartedAt:    c.environment.now(),
 		MaxAttempts:  c.scenario.Cluster.MaxAttempts,
 		DrainGraceMS: drainGracePeriod,
-		ToleranceMS:  timeTolerance,
+		ToleranceMS:  checkerTolerance,
 		ExactTimes:   c.environment.network() != nil,
 	}
 	for _, class := range c.classes {
--- a/internal/simulation/cluster/cluster_test.go
+++ b/internal/simulation/cluster/cluster_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// oneFault returns a scenario with one fault of a type, and the same scenario without it.
-func oneFault(faultType names.FaultType) (with, without *scenario.Scenario) {
+// singleFaultScenarios returns a scenario with one fault of a type, and the same scenario without it.
+func singleFaultScenarios(faultType names.FaultType) (with, without *scenario.Scenario) {
 	with = scenario.Generate(11, scenario.Options{Seconds: 6, FaultTypes: []names.FaultType{faultType}})
 	with.Cluster.Tiers = 1
 	with.Cluster.NestedCalls = 0
@@ -96,7 +96,7 @@
 	for _, spec := range scenario.FaultSpecs {
 		t.Run(string(spec.Name), func(t *testing.T) {
 			t.Parallel()
-			with, without := oneFault(spec.Name)
+			with, without := singleFaultScenarios(spec.Name)
 			faulty := Play(with, Options{})
 			healthy := Play(without, Options{})
 			reportViolations(t, "with the fault", &faulty)
--- a/internal/simulation/cluster/exemption.go
+++ b/internal/simulation/cluster/exemption.go
@@ -13,8 +13,8 @@
 	// defaultTransitMS is the transit time to a balancer that a client process does not use directly.
 	defaultTransitMS = 1
 
-	// maxTransitPassages is how many one-way passages data may need: for the data, its loss, and what follows.
-	maxTransitPassages = 3
+	// maxTransitDelays is how many one-way passages data may need: for the data, its loss, and what follows.
+	maxTransitDelays = 3
 )
 
 // LastResume returns when a balancer's process last got its CPU back that it had not at some time of a span.
@@ -31,7 +31,7 @@
 
 // Exempt reports whether a balancer was killed or unreachable for a client in a span.
 func (c *cluster) Exempt(process, client string, from, to float64) bool {
-	b := c.balancerOf(process)
+	b := c.findBalancer(process)
 	if b == nil {
 		return true
 	}
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, fault := range c.faults {
-		if fault.startsAt <= to && fault.endsAt >= from && fault.separates(clientZone(client), b) {
+		if fault.startsAt <= to && fault.endsAt >= from && fault.disconnects(clientZone(client), b) {
 			return true
 		}
 	}
@@ -51,7 +51,7 @@
 
 // MaxTransitMS returns how long data may be in transit between a client and a balancer.
 func (c *cluster) MaxTransitMS(process, client string) float64 {
-	b := c.balancerOf(process)
+	b := c.findBalancer(process)
 	zone := clientZone(client)
 	if b == nil || zone == "" {
 		return defaultTransitMS
@@ -66,11 +66,11 @@
 			}
 		}
 	}
-	return maxTransitPassages * latency * (1 + s.Jitter)
+	return maxTransitDelays * latency * (1 + s.Jitter)
 }
 
-// balancerOf returns the balancer of a process, or of its own name, nil if there is none.
-func (c *cluster) balancerOf(process string) *balancer {
+// findBalancer returns the balancer of a process, or of its own name, nil if there is none.
+func (c *cluster) findBalancer(process string) *balancer {
 	name, _, _ := strings.Cut(process, ".")
 	for _, b := range c.balancers {
 		if b.name == name {
--- a/internal/simulation/cluster/fault.go
+++ b/internal/simulation/cluster/fault.go
@@ -10,14 +10,14 @@
 	"salttrack/internal/simulation/simnet"
 )
 
-// faultType is how faults of one type are played.
-type faultType interface {
+// faultEffect is how faults of one type are played.
+type faultEffect interface {
 	// begin starts the effect of a fault and returns what ends it, nil if nothing has to be done at the fault's end.
 	begin(f *activeFault) (end func())
 }
 
-// faultTypes holds all fault types.
-var faultTypes = map[names.FaultType]faultType{
+// faultEffects holds all fault types.
+var faultEffects = map[names.FaultType]faultEffect{
 	names.SlowUpstream:        slowUpstreams,
 	names.SlowTier:            slowUpstreams,
 	names.CostlyRequests:      costlyRequests,
@@ -43,26 +43,26 @@
 	names.RestartBalancer:    beginFunc(restartBalancer),
 	names.StallBalancer:      beginFunc(stallBalancer),
 	names.RepeatedStalls:     beginFunc(stallRepeatedly),
-	names.MoveDiscoveryAgent: beginFunc(moveDiscovery),
+	names.MoveDiscoveryAgent: beginFunc(moveDiscoveryAgent),
 	names.ChangeSettings:     beginFunc(changeSettings),
 	names.ReloadUnchanged:    beginFunc(reloadUnchanged),
 	names.ClockStep:          beginFunc(stepClock),
-	names.ShortReadsWrites:   failingCalls{rules: shortReadsAndWrites},
-	names.FailingSystemCalls: failingCalls{rules: exhaustedResources},
+	names.ShortReadsWrites:   systemCallFault{rules: shortReadsAndWrites},
+	names.FailingSystemCalls: systemCallFault{rules: exhaustedResources},
 
 	names.MutedDiscovery:           beginFunc(muteAgent),
-	names.LaggingDiscovery:         agentState{set: raiseAgentLag, reset: resetAgentLag},
-	names.DuplicateUpdates:         agentState{set: sendDuplicates, reset: stopDuplicates},
+	names.LaggingDiscovery:         agentFault{set: raiseAgentLag, reset: resetAgentLag},
+	names.DuplicateUpdates:         agentFault{set: sendDuplicates, reset: stopDuplicates},
 	names.DiscoveryConnectionReset: beginFunc(resetAgent),
 
-	names.LoadSurge:         clientBehavior{normal: 1, value: func(b *fake.ClientBehavior) *float64 { return &b.RateFactor }},
-	names.CancellingClients: clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.CancelFraction }},
-	names.SlowReaders:       clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.SlowReadFraction }},
-	names.SlowWriters:       clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.SlowWriteFraction }},
-	names.PipeliningClients: clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.PipelinedFraction }},
-	names.NewConnections:    clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.NewConnectionFraction }},
-	names.LateFirstRequests: clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.DelayedFraction }},
-	names.MalformedClients:  clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.MalformedRate }},
+	names.LoadSurge:         clientFault{normal: 1, value: func(b *fake.ClientBehavior) *float64 { return &b.RateFactor }},
+	names.CancellingClients: clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.CancelFraction }},
+	names.SlowReaders:       clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.SlowReadFraction }},
+	names.SlowWriters:       clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.SlowWriteFraction }},
+	names.PipeliningClients: clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.PipelinedFraction }},
+	names.NewConnections:    clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.NewConnectionFraction }},
+	names.LateFirstRequests: clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.DelayedFraction }},
+	names.MalformedClients:  clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.MalformedRate }},
 }
 
 // beginFunc is a fault type given by its begin function.
@@ -93,7 +93,7 @@
 }
 
 func (f *activeFault) begin() {
-	played, ok := faultTypes[f.Type]
+	played, ok := faultEffects[f.Type]
 	if !ok {
 		panic(fmt.Sprintf("fault type %s can't be played", f.Type))
 	}
@@ -127,7 +127,7 @@
 }
 
 // balancer returns the balancer that the fault applies to.
-func (f *activeFault) balancer() *balancer { return f.cluster.balancerOf(f.Target) }
+func (f *activeFault) balancer() *balancer { return f.cluster.findBalancer(f.Target) }
 
 // zones returns the zones that the fault applies to.
 func (f *activeFault) zones() (string, string) {
@@ -135,8 +135,8 @@
 	return a, b
 }
 
-// separates reports whether the fault makes a balancer unreachable from a zone, or from any if the zone is "".
-func (f *activeFault) separates(zone string, b *balancer) bool {
+// disconnects reports whether the fault makes a balancer unreachable from a zone, or from any if the zone is "".
+func (f *activeFault) disconnects(zone string, b *balancer) bool {
 	if f.Type != names.PartitionWithReset && f.Type != names.PartitionWithPause {
 		return false
 	}
--- a/internal/simulation/cluster/fault_balancers.go
+++ b/internal/simulation/cluster/fault_balancers.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-func moveDiscovery(f *activeFault) func() {
+func moveDiscoveryAgent(f *activeFault) func() {
 	f.balancer().moveAgent()
 	return nil
 }
@@ -66,12 +66,12 @@
 	}
 }
 
-// failingCalls lets a fraction of the system calls of a balancer's process fail.
-type failingCalls struct {
+// systemCallFault lets a fraction of the system calls of a balancer's process fail.
+type systemCallFault struct {
 	rules func(fraction float64) []faultinject.Rule
 }
 
-func (c failingCalls) begin(f *activeFault) func() {
+func (c systemCallFault) begin(f *activeFault) func() {
 	kernel := f.virtual().kernels[f.balancer().processName()]
 	if kernel == nil {
 		return nil
--- a/internal/simulation/cluster/fault_discovery.go
+++ b/internal/simulation/cluster/fault_discovery.go
@@ -4,16 +4,16 @@
 
 const (
 	defaultAgentLag = 20.0 // ms, after a fault that raised the lag
-	minRaisedLag    = 0.5  // fraction of the fault's size
+	minRaisedLagFraction    = 0.5  // fraction of the fault's size
 )
 
-// agentState changes the discovery agents of all balancers.
-type agentState struct {
+// agentFault changes the discovery agents of all balancers.
+type agentFault struct {
 	set   func(f *activeFault, agent *fake.Agent)
 	reset func(agent *fake.Agent)
 }
 
-func (s agentState) begin(f *activeFault) func() {
+func (s agentFault) begin(f *activeFault) func() {
 	for _, b := range f.cluster.balancers {
 		s.set(f, b.agent)
 	}
@@ -25,7 +25,7 @@
 }
 
 func raiseAgentLag(f *activeFault, agent *fake.Agent) {
-	agent.Lag = f.Size * f.rng.Between(minRaisedLag, 1)
+	agent.Lag = f.Size * f.rng.Between(minRaisedLagFraction, 1)
 }
 
 func resetAgentLag(agent *fake.Agent) { agent.Lag = defaultAgentLag }
--- a/internal/simulation/cluster/fault_replicas.go
+++ b/internal/simulation/cluster/fault_replicas.go
@@ -15,7 +15,7 @@
 	replaceRejectDelay  = 500
 	deployRejectDelay   = 1000
 	deployDrainFraction = 0.7 // of the time for each replica of a rolling deploy, until its process ends
-	relocatedNumberStep = 256 // between the addresses of a replica's generations
+	movedNumberStep = 256 // between the addresses of a replica's generations
 )
 
 func crashUpstream(f *activeFault) func() {
@@ -57,7 +57,7 @@
 		}
 		r.publish(fake.Terminated, 0)
 		r.kill()
-		r.addr = address(relocatedSubnet+r.tier.number, r.number+relocatedNumberStep*r.generation, upstreamPort)
+		r.addr = address(movedUpstreamSubnet+r.tier.number, r.number+movedNumberStep*r.generation, upstreamPort)
 		r.replaceProcess()
 	}
 }
--- a/internal/simulation/cluster/fault_upstreams.go
+++ b/internal/simulation/cluster/fault_upstreams.go
@@ -5,47 +5,47 @@
 // costlyFraction is the fraction of requests that CostlyRequests makes costly.
 const costlyFraction = 0.05
 
-// upstreamState changes the faults of one upstream, or of all if the fault has no target.
-type upstreamState struct {
+// upstreamFault changes the faults of one upstream, or of all if the fault has no target.
+type upstreamFault struct {
 	set   func(faults *fake.UpstreamFaults, size float64)
 	reset func(faults *fake.UpstreamFaults)
 }
 
 var (
-	slowUpstreams = upstreamState{
+	slowUpstreams = upstreamFault{
 		set:   func(u *fake.UpstreamFaults, size float64) { u.Slowdown = size },
 		reset: func(u *fake.UpstreamFaults) { u.Slowdown = 1 },
 	}
-	costlyRequests = upstreamState{
+	costlyRequests = upstreamFault{
 		set: func(u *fake.UpstreamFaults, size float64) {
 			u.CostFactor = size
 			u.CostlyFraction = costlyFraction
 		},
 		reset: func(u *fake.UpstreamFaults) { u.CostFactor = 0 },
 	}
-	hangingUpstream = upstreamState{
+	hangingUpstream = upstreamFault{
 		set:   func(u *fake.UpstreamFaults, _ float64) { u.Hanging = true },
 		reset: func(u *fake.UpstreamFaults) { u.Hanging = false },
 	}
-	rejectingUpstream = upstreamState{
+	rejectingUpstream = upstreamFault{
 		set:   func(u *fake.UpstreamFaults, _ float64) { u.Rejecting = true },
 		reset: func(u *fake.UpstreamFaults) { u.Rejecting = false },
 	}
-	errorResponses = upstreamState{
+	errorResponses = upstreamFault{
 		set:   func(u *fake.UpstreamFaults, size float64) { u.ErrorFraction = size },
 		reset: func(u *fake.UpstreamFaults) { u.ErrorFraction = 0 },
 	}
-	corruptResponses = upstreamState{
+	corruptResponses = upstreamFault{
 		set:   func(u *fake.UpstreamFaults, size float64) { u.CorruptFraction = size },
 		reset: func(u *fake.UpstreamFaults) { u.CorruptFraction = 0 },
 	}
-	extraResponses = upstreamState{
+	extraResponses = upstreamFault{
 		set:   func(u *fake.UpstreamFaults, size float64) { u.ExtraDataFraction = size },
 		reset: func(u *fake.UpstreamFaults) { u.ExtraDataFraction = 0 },
 	}
 )
 
-func (s upstreamState) begin(f *activeFault) func() {
+func (s upstreamFault) begin(f *activeFault) func() {
 	f.changeUpstreams(func(u *fake.UpstreamFaults) { s.set(u, f.Size) })
 	return func() { f.changeUpstreams(s.reset) }
 }
@@ -54,7 +54,7 @@
 func (f *activeFault) changeUpstreams(change func(*fake.UpstreamFaults)) {
 	if f.Target != "" {
 		r := f.replica()
-		change(&r.replicaFaults)
+		change(&r.ownFaults)
 		r.combineFaults()
 		return
 	}
--- a/internal/simulation/cluster/play.go
+++ b/internal/simulation/cluster/play.go
@@ -61,9 +61,9 @@
 		}
 	}()
 	c.build()
-	network.Run(c.loadEnd + quietDuration)
+	network.Run(c.loadEnd + quietPeriod)
 	c.shutDown()
-	network.Run(c.loadEnd + quietDuration + shutdownTimeout)
+	network.Run(c.loadEnd + quietPeriod + shutdownTimeout)
 	c.checkShutDown()
 	return c.result(network)
 }
--- a/internal/simulation/cluster/play_loopback.go
+++ b/internal/simulation/cluster/play_loopback.go
@@ -41,9 +41,9 @@
 	defer e.close()
 	c := newCluster(s, e)
 	startedAt := e.now()
-	e.locked(c.build)
-	e.sleepUntil(c.loadEnd + quietDuration)
-	e.locked(c.shutDown)
+	e.withLock(c.build)
+	e.sleepUntil(c.loadEnd + quietPeriod)
+	e.withLock(c.shutDown)
 	e.waitForBalancers(shutdownTimeout)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,8 +57,8 @@
 	return c.loopbackResult(e, startedAt), nil
 }
 
-// locked makes a call with no loop running meanwhile.
-func (e *loopbackEnvironment) locked(call func()) {
+// withLock makes a call with no loop running meanwhile.
+func (e *loopbackEnvironment) withLock(call func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	call()
--- a/internal/simulation/cluster/replica.go
+++ b/internal/simulation/cluster/replica.go
@@ -28,8 +28,8 @@
 	generation     int    // processes so far
 	upstream       *fake.Upstream
 	host           host
-	replicaFaults  fake.UpstreamFaults
-	faults         fake.UpstreamFaults // its own and those of the tier, as the upstream reads them
+	ownFaults  fake.UpstreamFaults
+	combinedFaults         fake.UpstreamFaults // its own and those of the tier, as the upstream reads them
 	nestedBalancer *balancer           // for its calls to the next tier, nil on the last tier
 	down           bool
 }
@@ -117,7 +117,7 @@
 		},
 		Idempotency: r.tier.idempotency[r.zone],
 		Recorder:    c.checker,
-		Faults:      &r.faults,
+		Faults:      &r.combinedFaults,
 		LoadReports: s.LoadReports,
 		OnCrash:     func() { c.environment.schedule(c.now(), names.UpstreamCrash+r.host.Name(), r.kill) },
 	}
@@ -174,9 +174,9 @@
 
 // combineFaults combines the replica's own faults with those of its tier.
 func (r *replica) combineFaults() {
-	own := r.replicaFaults
+	own := r.ownFaults
 	tier := r.tier.faults
-	r.faults = fake.UpstreamFaults{
+	r.combinedFaults = fake.UpstreamFaults{
 		Slowdown:          max(1, own.Slowdown) * max(1, tier.Slowdown),
 		Hanging:           own.Hanging,
 		Rejecting:         own.Rejecting,
--- a/internal/simulation/cluster/shutdown.go
+++ b/internal/simulation/cluster/shutdown.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	// quietDuration is the time from the last request to the shutdown: more than the longest deadline.
-	quietDuration = 4500.0
+	// quietPeriod is the time from the last request to the shutdown: more than the longest deadline.
+	quietPeriod = 4500.0
 
 	// shutdownTimeout is the time that all balancers have to exit.
 	shutdownTimeout = 6000.0
 
-	// The platform may kill a process killMargin after the longest deadline, of which at most maxShutdownDeadline counts,
+	// The platform may kill a process killMargin after the longest deadline, of which at most maxCountedDeadline counts,
 	// from SIGTERM on.
-	maxShutdownDeadline = 3000.0
-	killMargin          = 700.0
+	maxCountedDeadline = 3000.0
+	killGracePeriod          = 700.0
 )
 
 // shutDown terminates all balancers. Nothing may be open so long after the last deadline.
@@ -27,7 +27,7 @@
 		if !b.down && !b.terminating {
 			if pending := b.process.pendingWork(); pending != "" {
 				c.checker.Report(names.LeakedState, c.now(), "%s still has %s, %.0f ms after the last request", b.name, pending,
-					quietDuration)
+					quietPeriod)
 			}
 		}
 		b.terminate()
@@ -49,11 +49,11 @@
 	}
 }
 
-// earliestKill returns how long after SIGTERM the platform may kill a process.
-func (c *cluster) earliestKill() float64 {
+// earliestKillDelay returns how long after SIGTERM the platform may kill a process.
+func (c *cluster) earliestKillDelay() float64 {
 	longest := 0.0
 	for _, class := range c.classes {
 		longest = max(longest, class.Deadline)
 	}
-	return min(maxShutdownDeadline, longest) + killMargin
+	return min(maxCountedDeadline, longest) + killGracePeriod
 }
--- a/internal/simulation/cluster/tier.go
+++ b/internal/simulation/cluster/tier.go
@@ -28,7 +28,7 @@
 	upstreamSubnet  = 10
 	balancerSubnet  = 20
 	agentSubnet     = 30
-	relocatedSubnet = 60 // of upstreams that moved to another address
+	movedUpstreamSubnet = 60 // of upstreams that moved to another address
 )
 
 // Ports of all processes of a kind.
