--- a/internal/simulation/cluster/balancer.go
+++ b/internal/simulation/cluster/balancer.go
@@ -10,18 +10,21 @@
 	"salttrack/internal/simulation/simnet"
 )
 
+// Times of the balancers' starts, restarts and discovery agents, in ms.
 const (
-	// Balancers start one after the other, once the upstreams are in discovery.
+	// A cluster starts its balancers in balancersPerStart groups.
+	// The first group starts firstBalancerStart after the start of the run, when the upstreams are in discovery.
+	// Each further group starts balancerStartInterval after the one before.
 	firstBalancerStart    = 10.0
 	balancerStartInterval = 40.0
 	balancersPerStart     = 5
 
-	restartDelay        = 100.0 // from an exit in order to the next start
-	minRestartNoticeDelay    = 200.0 // from SIGTERM until clients stop using the balancer
-	restartNoticeJitter = 200.0
-	minAgentLag         = 1.0
-	maxAgentLag         = 60.0
-	oldAgentCloseDelay  = 1500.0 // until the agent at the old address closes its connections
+	restartDelay          = 100.0  // from a graceful exit to the next start
+	minRestartNoticeDelay = 200.0  // shortest time from SIGTERM until clients stop using the balancer
+	restartNoticeJitter   = 200.0  // longest random addition to minRestartNoticeDelay
+	minAgentLag           = 1.0    // shortest time until a discovery agent receives a change
+	maxAgentLag           = 60.0   // longest time until a discovery agent receives a change
+	oldAgentCloseDelay    = 1500.0 // from the move of a discovery agent until the agent at the old address closes its connections
 )
 
 // balancerOptions are the parameters of a balancer.
@@ -29,29 +32,29 @@
 	name      string
 	zone      string
 	machine   string
-	tier      int // whose upstreams it uses
-	instance  int // its number among the balancers of the tier
-	instances int
+	tier      int // number of the tier whose upstreams the balancer uses
+	instance  int // number of the balancer among the balancers of the tier
+	instances int // number of balancers of the tier
 }
 
-// balancer is one balancer and the discovery agent on its machine, through all its processes.
+// balancer is one balancer and the discovery agent on its machine. It exists for the whole run and has one process after the other.
 type balancer struct {
 	balancerOptions
-	cluster     *cluster
-	addr        netip.AddrPort
-	agentAddr   netip.AddrPort
-	agent       *fake.Agent
-	agentHost   host
-	agentMoves  int
-	process     balancerProcess // the last one
-	startCount  int
-	settingsChanges     int           // how often its settings changed
-	killedSpans []simnet.Span // from each kill to the next start, 0 if there is none yet
-	terminating bool
-	down        bool
+	cluster         *cluster
+	addr            netip.AddrPort
+	agentAddr       netip.AddrPort
+	agent           *fake.Agent
+	agentHost       host
+	agentMoves      int             // how often the discovery agent was moved to another address
+	process         balancerProcess // the current process, or the last one while the balancer is down
+	startCount      int             // number of processes started so far
+	settingsChanges int             // how often the settings were changed
+	killedSpans     []simnet.Span   // times from each kill to the next start; To is 0 before that start
+	terminating     bool            // SIGTERM was sent to the current process
+	down            bool            // no process is running
 }
 
-// newBalancer starts a discovery agent and schedules the start of its balancer.
+// newBalancer adds a balancer: it starts its discovery agent and schedules the start of its first process.
 func (c *cluster) newBalancer(options balancerOptions) *balancer {
 	number := len(c.balancers)
 	b := &balancer{
@@ -70,12 +73,12 @@
 	return b
 }
 
-// address returns the balancer as its clients reach it.
+// address returns the name and the address that clients of the balancer use.
 func (b *balancer) address() fake.BalancerAddress {
 	return fake.BalancerAddress{Name: b.name, Addr: b.addr}
 }
 
-// startAgent starts a discovery agent at the present agent address.
+// startAgent starts a discovery agent at agentAddr.
 func (b *balancer) startAgent() {
 	rng := randstream.New(b.cluster.scenario.Seed, fmt.Sprintf(names.DiscoveryAgentStream, b.name, b.agentMoves))
 	agent, err := fake.NewAgent(fake.Agent{
@@ -86,17 +89,17 @@
 		Lag:      rng.Between(minAgentLag, maxAgentLag),
 	}, b.agentAddr)
 	if err != nil {
-		panic(err) // the simulator has assigned its address
+		panic(err) // the simulator assigns each address only once
 	}
 	b.agent = agent
 }
 
-// processName returns the name of the balancer's present process.
+// processName returns the name of the balancer's current or last process.
 func (b *balancer) processName() string {
 	return fmt.Sprintf(names.BalancerProcess, b.name, b.startCount)
 }
 
-// start starts a process of a balancer that is down.
+// start starts a process. It does nothing if the balancer is not down.
 func (b *balancer) start() {
 	if !b.down {
 		return
@@ -115,7 +118,7 @@
 	}
 }
 
-// kill ends the balancer's process at once.
+// kill kills the balancer's process.
 func (b *balancer) kill() {
 	if b.down {
 		return
@@ -125,7 +128,8 @@
 	b.killedSpans = append(b.killedSpans, simnet.Span{From: b.cluster.now()})
 }
 
-// terminate sends the balancer SIGTERM. Its clients stop using it soon after.
+// terminate sends SIGTERM to the balancer's process.
+// Each balancer pool stops using the balancer after a random delay. A check of the exit is scheduled for the earliest SIGKILL.
 func (b *balancer) terminate() {
 	if b.down || b.terminating {
 		return
@@ -144,23 +148,24 @@
 	})
 }
 
-// checkExited checks that a process has exited before the platform may kill it. One that had no CPU meanwhile is exempt.
+// checkExited checks that a process has exited before the platform may send SIGKILL.
+// A process that was stalled after the signal is exempt.
 func (b *balancer) checkExited(process string, signalledAt float64) {
 	c := b.cluster
 	if b.down || b.processName() != process || c.LastResume(process, signalledAt, c.now()) != 0 {
 		return
 	}
-	c.checker.Report(names.ShutdownTimeout, c.now(), "%s still runs %.0f ms after SIGTERM and may be killed", process,
-		c.now()-signalledAt)
+	c.checker.Report(names.ShutdownTimeout, c.now(), "%s is still running %.0f ms after SIGTERM, when the platform may kill it",
+		process, c.now()-signalledAt)
 }
 
-// onExit checks the state of a process that exited in order, and schedules the next start.
+// onExit checks the state of a process that exited gracefully, and schedules the next start unless the run ends.
 func (b *balancer) onExit(process string, state exitState) {
 	c := b.cluster
 	at := c.now()
 	b.down = true
 	if state.leakedState != "" {
-		c.checker.Report(names.LeakedState, at, "%s exited with %s", process, state.leakedState)
+		c.checker.Report(names.LeakedState, at, "%s exited without releasing %s", process, state.leakedState)
 	}
 	if state.openDescriptors != 0 {
 		c.checker.Report(names.LeakedState, at, "%s exited with %d open descriptors", process, state.openDescriptors)
@@ -173,14 +178,14 @@
 	}
 }
 
-// reload sends the balancer SIGHUP with its present configuration.
+// reload sends SIGHUP to the balancer, with its current configuration in the file.
 func (b *balancer) reload() {
 	if !b.down {
 		b.process.reload(b.config())
 	}
 }
 
-// changeSettings sends the balancer SIGHUP with a truncated file, and then with changed settings.
+// changeSettings changes the settings and sends SIGHUP twice: first with a truncated configuration file, then with the complete one.
 func (b *balancer) changeSettings() {
 	if b.down || b.terminating {
 		return
@@ -191,7 +196,8 @@
 	b.process.reload(config)
 }
 
-// moveAgent starts a discovery agent at another address, and sends the balancer SIGHUP with that address.
+// moveAgent moves discovery to another address: it starts an agent there and sends SIGHUP with the new address in the configuration.
+// The old agent closes its connections after oldAgentCloseDelay.
 func (b *balancer) moveAgent() {
 	if b.down || b.terminating {
 		return
--- a/internal/simulation/cluster/balancer_config.go
+++ b/internal/simulation/cluster/balancer_config.go
@@ -8,14 +8,15 @@
 	"salttrack/balance"
 )
 
+// Values in the configuration files of all balancers.
 const (
-	settingsGranularityMS  = 5.0
-	promisedCapacityFraction = 0.9 // fraction of a cold upstream's capacity that the settings promise
-	keepAliveMS            = 15000.0
-	connectTimeoutMS       = 250
-	maxRetryAfterMS        = 2000
-	balancerCores          = 1
-	balancerMemoryMB       = 192
+	settingsGranularityMS    = 5.0
+	promisedCapacityFraction = 0.9 // start_capacity of the settings, as a fraction of a new upstream's real capacity
+	keepAliveMS              = 15000.0
+	connectTimeoutMS         = 250
+	maxRetryAfterMS          = 2000
+	balancerCores            = 1
+	balancerMemoryMB         = 192
 )
 
 // configFile is a balancer's configuration file.
@@ -25,7 +26,7 @@
 	Discovery string          `json:"discovery"`
 	Seed      string          `json:"seed"`
 	Limits    configLimits    `json:"limits"`
-	Known     json.RawMessage `json:"known"` // the endpoint list at the start
+	Known     json.RawMessage `json:"known"` // the endpoint list that is used until discovery has sent one
 	Settings  configSettings  `json:"settings"`
 }
 
@@ -82,14 +83,14 @@
 	WindowMS           float64 `json:"window_ms,omitempty"`
 }
 
-// idempotencyNames are the spellings of the settings.
+// idempotencyNames are the spellings of the idempotency in the settings.
 var idempotencyNames = map[balance.Idempotency]string{
 	balance.Idempotent:         "retryable",
 	balance.WithIdempotencyKey: "dedup",
 	balance.NonIdempotent:      "fragile",
 }
 
-// config returns the balancer's present configuration file.
+// config returns the content of the balancer's configuration file, with the current settings and endpoints.
 func (b *balancer) config() []byte {
 	c := b.cluster
 	text, err := json.Marshal(configFile{
@@ -111,6 +112,7 @@
 	return text
 }
 
+// settings returns the settings of the configuration file. They depend on settingsChanges.
 func (b *balancer) settings() configSettings {
 	s := &b.cluster.scenario.Cluster
 	settings := configSettings{
@@ -148,7 +150,8 @@
 	return settings
 }
 
-// classes returns the classes of the settings. After a change they are in another order, with one more.
+// classes returns the classes of the settings.
+// After a change of the settings the list is rotated and has an additional class.
 func (b *balancer) classes() []configClass {
 	var list []configClass
 	for _, class := range b.cluster.classes {
--- a/internal/simulation/cluster/classes.go
+++ b/internal/simulation/cluster/classes.go
@@ -6,19 +6,19 @@
 	"salttrack/internal/simulation/scenario"
 )
 
-// deduplicationWindow is how long upstreams hold an idempotency key.
+// deduplicationWindow is the time in ms for which upstreams store an idempotency key.
 const deduplicationWindow = 10000.0
 
-// class is a class of requests: as clients use it, and as the balancers' settings describe it.
+// class is a class of requests. It has the values for the clients and those for the balancers' settings.
 type class struct {
 	fake.Class
-	latencyObjective   float64
+	latencyObjective   float64 // ms
 	priorityWeight     float64
-	costFactor         float64 // multiple of the cheapest class
-	deduplicationScope string  // as the settings spell it
+	costFactor         float64 // mean service time as a multiple of the service time of the cheapest class
+	deduplicationScope string  // spelling of the settings; "" for a class without idempotency keys
 }
 
-// defaultClasses returns the classes of all clusters, with the default deadlines.
+// defaultClasses returns the classes of all clusters with the default deadlines, in ms.
 func defaultClasses() []class {
 	return []class{
 		{
@@ -49,7 +49,7 @@
 	}
 }
 
-// classesOf returns the classes of a cluster, with its deadlines.
+// classesOf returns the classes of a cluster. Its DeadlineFactor multiplies the deadlines and the latency objectives.
 func classesOf(c scenario.Cluster) []class {
 	classes := defaultClasses()
 	if c.DeadlineFactor == 0 {
@@ -62,7 +62,7 @@
 	return classes
 }
 
-// fakeClasses returns the classes as clients use them.
+// fakeClasses returns the classes in the form that the fake clients use.
 func fakeClasses(classes []class) []fake.Class {
 	list := make([]fake.Class, len(classes))
 	for i := range classes {
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/simulation/cluster/cluster.go
@@ -1,5 +1,6 @@
-// Package cluster builds the cluster of a scenario, on the virtual network or on loopback sockets, plays its faults, and
-// has the checker check what passes. All times are in milliseconds.
+// Package cluster runs a scenario: it builds the cluster, plays the faults, and checks the recorded events.
+// The cluster runs on the virtual network or on loopback sockets.
+// All times are in milliseconds.
 package cluster
 
 import (
@@ -14,31 +15,31 @@
 )
 
 const (
-	loadStartDelay        = 1000.0 // from the start to the first request
-	drainGracePeriod = 250.0  // for a balancer to stop using a draining upstream
-	checkerTolerance    = 50.0   // added to each time limit of the checker
+	loadStartDelay   = 1000.0 // from the start of the run to the start of the load, in ms
+	drainGracePeriod = 250.0  // time in ms within which a balancer has to stop using a draining upstream
+	checkerTolerance = 50.0   // ms added to each time limit of the checker
 )
 
-// cluster is one run of a scenario. It owns all its processes, which end with its environment. Its methods are called
-// one at a time, with no loop running meanwhile. It is the checker.Environment.
+// cluster is one run of a scenario. It owns all processes of the run, which end with the environment.
+// Its methods are called one at a time, while no event loop runs. It implements checker.Environment.
 type cluster struct {
 	scenario    *scenario.Scenario
 	environment environment
 	checker     *checker.Checker
 
 	classes        []class
-	loadStart      float64 // first request
-	loadEnd        float64 // last request
+	loadStart      float64 // time from which on clients send requests
+	loadEnd        float64 // time from which on clients send no new requests
 	tiers          []*tier
 	balancers      []*balancer
-	balancerPools  []*fake.BalancerPool // by zone
-	clients        []*fake.Clients
-	clientBehavior fake.ClientBehavior
-	faults         []*activeFault
-	shuttingDown   bool
+	balancerPools  []*fake.BalancerPool // one for each zone
+	clients        []*fake.Clients      // one for each zone, from loadStart on
+	clientBehavior fake.ClientBehavior  // shared by the clients of all zones; faults change it
+	faults         []*activeFault       // all faults of the scenario
+	shuttingDown   bool                 // the run ends; balancers that exit do not start again
 }
 
-// newCluster returns a cluster without processes.
+// newCluster returns a cluster for a scenario. It has no processes before build.
 func newCluster(s *scenario.Scenario, e environment) *cluster {
 	c := &cluster{
 		scenario:       s,
@@ -52,7 +53,7 @@
 	return c
 }
 
-// limits returns the limits that the rules apply.
+// limits returns the parameters of the checker's rules.
 func (c *cluster) limits() checker.Limits {
 	limits := checker.Limits{
 		StartedAt:    c.environment.now(),
@@ -71,7 +72,7 @@
 	return limits
 }
 
-// build starts all processes and schedules the faults. The order enters the hash of the run.
+// build starts all processes and schedules the faults. The sequence of the calls enters the hash of the run and must not change.
 func (c *cluster) build() {
 	s := &c.scenario.Cluster
 	for i := range s.Tiers {
@@ -86,7 +87,7 @@
 			instances: s.Balancers,
 		})
 	}
-	for i := len(c.tiers) - 1; i >= 0; i-- { // an upstream needs the next tier
+	for i := len(c.tiers) - 1; i >= 0; i-- { // an upstream needs the upstreams of the next tier
 		for number := range s.Upstreams {
 			c.newReplica(c.tiers[i], number)
 		}
@@ -132,10 +133,10 @@
 	c.environment.start(h)
 }
 
-// now returns the time of the run, which a clock step does not change.
+// now returns the current time of the run, in ms. Clock steps do not affect it.
 func (c *cluster) now() float64 { return c.environment.now() }
 
-// wallClock returns the clock of all machines.
+// wallClock returns the wall clock of all machines, in ms. It includes clock steps.
 func (c *cluster) wallClock() float64 {
 	if network := c.environment.network(); network != nil {
 		return network.Now() + network.ClockOffset()
@@ -143,7 +144,7 @@
 	return c.now()
 }
 
-// processSeed returns the seed of a process's random numbers.
+// processSeed returns the seed for the random numbers of a process.
 func processSeed(seed uint64, name string) uint64 {
 	return randstream.Hash(seed, names.ProcessSeed+name)
 }
--- a/internal/simulation/cluster/cluster_test.go
+++ b/internal/simulation/cluster/cluster_test.go
@@ -16,7 +16,7 @@
 	os.Exit(m.Run())
 }
 
-// reportViolations fails a test for each violation of a run.
+// reportViolations reports each violation of a run as an error of the test.
 func reportViolations(t *testing.T, run string, result *Result) {
 	t.Helper()
 	for _, violation := range result.Violations {
@@ -24,11 +24,12 @@
 	}
 }
 
-// Scenarios that once violated a rule don't any more. Their descriptions say what they found.
+// Runs all scenarios in testdata. Each of them once violated a rule because of a fault in the code and must not violate any rule now.
+// The description in each scenario says what was wrong.
 func TestRegressions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scenarios", err)
+		t.Fatalf("no scenarios in testdata: %v", err)
 	}
 	for _, file := range files {
 		s, err := scenario.Load(file)
@@ -37,14 +38,15 @@
 			continue
 		}
 		if s.Description == "" {
-			t.Errorf("%s does not describe what it found", file)
+			t.Errorf("%s has no description of the fault that it found", file)
 		}
 		result := Play(s, Options{})
 		reportViolations(t, file, &result)
 	}
 }
 
-// A run depends on its scenario alone, and a trace does not change it.
+// Two runs of a scenario must have the same hash and the same trace. A run without a trace must have this hash too.
+// A scenario of another seed must have another hash.
 func TestDeterminism(t *testing.T) {
 	s := scenario.Generate(7, scenario.Options{Seconds: 5})
 	var traces [2]strings.Builder
@@ -54,17 +56,17 @@
 		t.Errorf("two runs differ: hashes %x and %x, %d and %d steps", first.Hash, second.Hash, first.Steps, second.Steps)
 	}
 	if traces[0].Len() < 100000 {
-		t.Errorf("trace of %d bytes", traces[0].Len())
+		t.Errorf("the trace has %d bytes, want at least 100000", traces[0].Len())
 	}
 	if untraced := Play(s, Options{}); untraced.Hash != first.Hash {
-		t.Error("a trace changes the run")
+		t.Error("the run without a trace has another hash")
 	}
 	if other := Play(scenario.Generate(8, scenario.Options{Seconds: 5}), Options{}); other.Hash == first.Hash {
-		t.Error("another seed gives the same run")
+		t.Error("the run with another seed has the same hash")
 	}
 }
 
-// singleFaultScenarios returns a scenario with one fault of a type, and the same scenario without it.
+// singleFaultScenarios returns a scenario with one fault of the given type, and the same scenario without the fault.
 func singleFaultScenarios(faultType names.FaultType) (with, without *scenario.Scenario) {
 	with = scenario.Generate(11, scenario.Options{Seconds: 6, FaultTypes: []names.FaultType{faultType}})
 	with.Cluster.Tiers = 1
@@ -83,7 +85,7 @@
 	case names.MutedDiscovery:
 		fault.DurationSeconds = 6
 		fallthrough
-	case names.LaggingDiscovery, names.DuplicateUpdates: // they have an effect on changes only
+	case names.LaggingDiscovery, names.DuplicateUpdates: // a drain is added, because these types only affect updates of the endpoint list
 		drain := scenario.Fault{ID: "d", Type: names.DrainUpstream, StartSeconds: 2, DurationSeconds: 1, Target: "u0-2"}
 		with.Faults = append(with.Faults, drain)
 		without.Faults = append(without.Faults, drain)
@@ -91,7 +93,7 @@
 	return with, without
 }
 
-// Each fault type can be played alone and has an effect: the run differs from the one without it.
+// Runs one fault of each type alone. The run must violate no rule, and its hash must differ from the run without the fault.
 func TestEachFaultType(t *testing.T) {
 	for _, spec := range scenario.FaultSpecs {
 		t.Run(string(spec.Name), func(t *testing.T) {
@@ -111,7 +113,7 @@
 	}
 }
 
-// Requests pass through three tiers, with a balancer for the nested calls of each upstream.
+// Runs a cluster of three tiers. The upstreams of the first two tiers call the next tier, each through its own balancer.
 func TestTiers(t *testing.T) {
 	s := scenario.Generate(3, scenario.Options{Seconds: 5})
 	s.Faults = nil
@@ -125,13 +127,15 @@
 		t.Error(result.Violations)
 	}
 	counts := result.Counts
-	fromClients := counts.Requests - counts.Requests*6/7 // each makes two nested calls, and each of these two more
+	// Each request of a client causes two nested calls to the second tier, and each of these two calls to the third tier.
+	// So one of seven counted requests comes from a client.
+	fromClients := counts.Requests - counts.Requests*6/7
 	if counts.Failed > 0 || counts.Executed < fromClients*6 {
 		t.Errorf("%+v", counts)
 	}
 }
 
-// BenchmarkPlay plays one seed after the other on one core.
+// BenchmarkPlay runs the scenarios of successive seeds, one after the other.
 func BenchmarkPlay(b *testing.B) {
 	for i := range b.N {
 		Play(scenario.Generate(uint64(i+1), scenario.Options{Seconds: 10}), Options{})
--- a/internal/simulation/cluster/exemption.go
+++ b/internal/simulation/cluster/exemption.go
@@ -7,17 +7,20 @@
 )
 
 const (
-	// exemptionMargin is how long before a span, in ms, a kill or a partition still has an effect.
+	// exemptionMargin is the time in ms after the end of a kill or a partition in which it still exempts requests.
 	exemptionMargin = 100
 
-	// defaultTransitMS is the transit time to a balancer that a client process does not use directly.
+	// defaultTransitMS is the transit time for processes other than clients.
+	// These are upstreams, which call a balancer on their own machine.
 	defaultTransitMS = 1
 
-	// maxTransitDelays is how many one-way passages data may need: for the data, its loss, and what follows.
+	// maxTransitDelays is the greatest number of one-way delays that data may need.
+	// One is for the data, one for the notice that it was lost, and one for the data that follows.
 	maxTransitDelays = 3
 )
 
-// LastResume returns when a balancer's process last got its CPU back that it had not at some time of a span.
+// LastResume returns the time at which the last stall of a balancer's process between from and to ended.
+// It returns 0 if there was no stall in that time. On loopback sockets it always returns 0.
 func (c *cluster) LastResume(process string, from, to float64) float64 {
 	virtual, ok := c.environment.(*virtualEnvironment)
 	if !ok {
@@ -29,7 +32,8 @@
 	return 0
 }
 
-// Exempt reports whether a balancer was killed or unreachable for a client in a span.
+// Exempt reports whether a balancer was killed or unreachable from a client at some time between from and to.
+// A kill or a partition that ended at most exemptionMargin before from counts too. A process of no known balancer is exempt.
 func (c *cluster) Exempt(process, client string, from, to float64) bool {
 	b := c.findBalancer(process)
 	if b == nil {
@@ -49,7 +53,8 @@
 	return false
 }
 
-// MaxTransitMS returns how long data may be in transit between a client and a balancer.
+// MaxTransitMS returns the longest time in ms that data may be in transit between a client and a balancer.
+// Between zones it assumes that all latency faults of the run are active.
 func (c *cluster) MaxTransitMS(process, client string) float64 {
 	b := c.findBalancer(process)
 	zone := clientZone(client)
@@ -69,7 +74,7 @@
 	return maxTransitDelays * latency * (1 + s.Jitter)
 }
 
-// findBalancer returns the balancer of a process, or of its own name, nil if there is none.
+// findBalancer returns the balancer with the given name, or with a process of the given name. It returns nil if there is none.
 func (c *cluster) findBalancer(process string) *balancer {
 	name, _, _ := strings.Cut(process, ".")
 	for _, b := range c.balancers {
@@ -80,7 +85,7 @@
 	return nil
 }
 
-// clientZone returns the zone of a client process, "" for another process.
+// clientZone returns the zone of a client process, or "" if the process is no client.
 func clientZone(client string) string {
 	zone, ok := strings.CutPrefix(client, names.ClientProcessPrefix)
 	if !ok {
--- a/internal/simulation/cluster/fault.go
+++ b/internal/simulation/cluster/fault.go
@@ -10,13 +10,13 @@
 	"salttrack/internal/simulation/simnet"
 )
 
-// faultEffect is how faults of one type are played.
+// faultEffect is the effect that the faults of one type have on the cluster.
 type faultEffect interface {
-	// begin starts the effect of a fault and returns what ends it, nil if nothing has to be done at the fault's end.
+	// begin starts the effect of a fault. It returns the function that ends the effect, or nil if the end needs no action.
 	begin(f *activeFault) (end func())
 }
 
-// faultEffects holds all fault types.
+// faultEffects has the effect of each fault type.
 var faultEffects = map[names.FaultType]faultEffect{
 	names.SlowUpstream:        slowUpstreams,
 	names.SlowTier:            slowUpstreams,
@@ -65,21 +65,21 @@
 	names.MalformedClients:  clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.MalformedRate }},
 }
 
-// beginFunc is a fault type given by its begin function.
+// beginFunc is a faultEffect that consists of its begin function.
 type beginFunc func(f *activeFault) (end func())
 
 func (begin beginFunc) begin(f *activeFault) func() { return begin(f) }
 
-// activeFault is one fault of a run.
+// activeFault is one fault of a run, with its times in ms of the run's clock.
 type activeFault struct {
 	*scenario.Fault
 	cluster  *cluster
-	rng      randstream.Stream
+	rng      randstream.Stream // random numbers of this fault only
 	startsAt float64
 	endsAt   float64
 }
 
-// scheduleFault schedules a fault. It ends with the load at the latest.
+// scheduleFault schedules a fault. The fault ends at the end of the load at the latest.
 func (c *cluster) scheduleFault(fault *scenario.Fault) {
 	f := &activeFault{
 		Fault:    fault,
@@ -92,50 +92,53 @@
 	c.environment.schedule(f.startsAt, names.FaultBegin+f.ID, f.begin)
 }
 
+// begin starts the effect of the fault and schedules its end.
 func (f *activeFault) begin() {
-	played, ok := faultEffects[f.Type]
+	effect, ok := faultEffects[f.Type]
 	if !ok {
-		panic(fmt.Sprintf("fault type %s can't be played", f.Type))
+		panic(fmt.Sprintf("fault type %s has no effect function", f.Type))
 	}
-	if end := played.begin(f); end != nil {
+	if end := effect.begin(f); end != nil {
 		f.cluster.environment.schedule(f.endsAt, names.FaultEnd+f.ID, end)
 	}
 }
 
-// duration returns how long the fault lasts.
+// duration returns the duration of the fault in ms.
 func (f *activeFault) duration() float64 { return f.endsAt - f.startsAt }
 
-// after makes a call so many ms from now. The name orders events of the same time.
+// after calls callback after the given number of ms. Events of the same time are sorted by name.
 func (f *activeFault) after(ms float64, name string, callback func()) {
 	f.cluster.environment.schedule(f.cluster.now()+ms, name+"/"+f.ID, callback)
 }
 
+// network returns the virtual network. Only fault types that can't be played on loopback sockets use it.
 func (f *activeFault) network() *simnet.Network { return f.cluster.environment.network() }
 
-// virtual returns the virtual environment, for fault types that can't be played on loopback sockets.
+// virtual returns the virtual environment. Only fault types that can't be played on loopback sockets use it.
 func (f *activeFault) virtual() *virtualEnvironment {
 	return f.cluster.environment.(*virtualEnvironment)
 }
 
-// replica returns the upstream that the fault applies to.
+// replica returns the upstream that is the target of the fault.
 func (f *activeFault) replica() *replica {
 	tier, number, err := f.Upstream()
 	if err != nil {
-		panic(err) // scenarios are validated
+		panic(err) // the scenario was validated before the run
 	}
 	return f.cluster.tiers[tier].replicas[number]
 }
 
-// balancer returns the balancer that the fault applies to.
+// balancer returns the balancer that is the target of the fault.
 func (f *activeFault) balancer() *balancer { return f.cluster.findBalancer(f.Target) }
 
-// zones returns the zones that the fault applies to.
+// zones returns the two zones that are the target of the fault.
 func (f *activeFault) zones() (string, string) {
 	a, b, _ := f.Zones()
 	return a, b
 }
 
-// disconnects reports whether the fault makes a balancer unreachable from a zone, or from any if the zone is "".
+// disconnects reports whether the fault is a partition that makes a balancer unreachable from a zone.
+// If the zone is "", any partition counts.
 func (f *activeFault) disconnects(zone string, b *balancer) bool {
 	if f.Type != names.PartitionWithReset && f.Type != names.PartitionWithPause {
 		return false
--- a/internal/simulation/cluster/fault_balancers.go
+++ b/internal/simulation/cluster/fault_balancers.go
@@ -7,47 +7,54 @@
 	"salttrack/internal/simulation/names"
 )
 
-// Pauses between repeated stalls, in ms.
+// Shortest and longest time between two repeated stalls, in ms.
 const (
 	minStallGap = 5
 	maxStallGap = 300
 )
 
-// minStallFraction is the shortest of repeated stalls, as a fraction of the fault's size.
+// minStallFraction is the shortest duration of a repeated stall, as a fraction of the fault's size.
 const minStallFraction = 0.2
 
+// killBalancer kills a balancer's process. The balancer starts again at the end of the fault.
 func killBalancer(f *activeFault) func() {
 	b := f.balancer()
 	b.kill()
 	return b.start
 }
 
+// restartBalancer sends SIGTERM to a balancer, which starts again after its exit.
 func restartBalancer(f *activeFault) func() {
 	f.balancer().terminate()
 	return nil
 }
 
+// moveDiscoveryAgent moves a balancer's discovery agent to another address.
 func moveDiscoveryAgent(f *activeFault) func() {
 	f.balancer().moveAgent()
 	return nil
 }
 
+// changeSettings changes the settings of a balancer.
 func changeSettings(f *activeFault) func() {
 	f.balancer().changeSettings()
 	return nil
 }
 
+// reloadUnchanged sends SIGHUP to a balancer whose settings have not changed.
 func reloadUnchanged(f *activeFault) func() {
 	f.balancer().reload()
 	return nil
 }
 
+// stallBalancer stalls a balancer for the duration of the fault.
 func stallBalancer(f *activeFault) func() {
 	f.stall(f.duration())
 	return nil
 }
 
-// stallRepeatedly stalls a balancer at random intervals until the end of the fault.
+// stallRepeatedly stalls a balancer again and again until the end of the fault.
+// The durations of the stalls and the times between them are random.
 func stallRepeatedly(f *activeFault) func() {
 	if f.cluster.now() >= f.endsAt {
 		return nil
@@ -58,7 +65,7 @@
 	return nil
 }
 
-// stall takes the CPU from the process of a balancer.
+// stall withholds the CPU from the process of the target balancer for the given number of ms.
 func (f *activeFault) stall(ms float64) {
 	process := f.virtual().processes[f.balancer().processName()]
 	if process != nil && !process.Exited() {
@@ -66,8 +73,9 @@
 	}
 }
 
-// systemCallFault lets a fraction of the system calls of a balancer's process fail.
+// systemCallFault makes system calls of a balancer's process fail.
 type systemCallFault struct {
+	// rules returns the rules for a fraction of failing calls. The fraction is the size of the fault.
 	rules func(fraction float64) []faultinject.Rule
 }
 
@@ -80,7 +88,7 @@
 	return func() { kernel.SetRules(nil) }
 }
 
-// shortReadsAndWrites returns rules under which reads and writes transfer one byte.
+// shortReadsAndWrites returns rules by which the given fraction of the reads and writes transfers one byte.
 func shortReadsAndWrites(fraction float64) []faultinject.Rule {
 	return []faultinject.Rule{
 		{Call: faultinject.Read, Errno: faultinject.Short, Fraction: fraction},
@@ -88,7 +96,8 @@
 	}
 }
 
-// exhaustedResources returns rules under which calls fail for lack of descriptors, memory or ports, as Linux documents.
+// exhaustedResources returns rules by which calls fail for lack of descriptors, memory or ports, or because of the network.
+// The errors are those that the manual pages of Linux name for each call. The less likely errors have a half or a quarter of the fraction.
 func exhaustedResources(fraction float64) []faultinject.Rule {
 	return []faultinject.Rule{
 		{Call: faultinject.Accept, Errno: unix.ENFILE, Fraction: fraction},
--- a/internal/simulation/cluster/fault_clients.go
+++ b/internal/simulation/cluster/fault_clients.go
@@ -2,10 +2,10 @@
 
 import "salttrack/internal/simulation/fake"
 
-// clientFault sets one value of the clients' behavior to the fault's size.
+// clientFault sets one value of the clients' behavior to the size of the fault.
 type clientFault struct {
-	value  func(*fake.ClientBehavior) *float64
-	normal float64 // without the fault
+	value  func(*fake.ClientBehavior) *float64 // returns a pointer to the value
+	normal float64                             // the value without the fault
 }
 
 func (b clientFault) begin(f *activeFault) func() {
--- a/internal/simulation/cluster/fault_network.go
+++ b/internal/simulation/cluster/fault_network.go
@@ -2,7 +2,7 @@
 
 import "salttrack/internal/simulation/simnet"
 
-// partition separates two zones.
+// partition is a network partition between two zones. The field onHeal tells what happens to open connections at its end.
 type partition struct{ onHeal simnet.HealMode }
 
 func (p partition) begin(f *activeFault) func() {
@@ -11,18 +11,20 @@
 	return func() { f.network().Heal(a, b, p.onHeal) }
 }
 
+// raiseLatency multiplies the latency between two zones by the size of the fault.
 func raiseLatency(f *activeFault) func() {
 	a, b := f.zones()
 	f.network().SetLatencyFactor(a, b, f.Size)
 	return func() { f.network().SetLatencyFactor(a, b, 1) }
 }
 
+// fragmentWrites makes the network split writes into small segments. The size of the fault is the fraction of the writes.
 func fragmentWrites(f *activeFault) func() {
 	f.network().SetFragmentation(f.Size)
 	return func() { f.network().SetFragmentation(0) }
 }
 
-// stepClock steps the clock of all machines, and back at the end.
+// stepClock steps the wall clock of all machines by the size of the fault, in seconds. At the end of the fault it undoes the step.
 func stepClock(f *activeFault) func() {
 	step := f.Size * 1000
 	f.network().StepClock(step)
--- a/internal/simulation/cluster/fault_replicas.go
+++ b/internal/simulation/cluster/fault_replicas.go
@@ -9,22 +9,26 @@
 	"salttrack/internal/simulation/simnet"
 )
 
-// Times from the announcement that an upstream terminates until it rejects new requests, in ms.
+// Times from the announcement that an upstream terminates until the upstream rejects new requests, in ms.
 const (
-	drainRejectDelay    = 1000
-	replaceRejectDelay  = 500
-	deployRejectDelay   = 1000
-	deployDrainFraction = 0.7 // of the time for each replica of a rolling deploy, until its process ends
-	movedNumberStep = 256 // between the addresses of a replica's generations
+	drainRejectDelay   = 1000
+	replaceRejectDelay = 500
+	deployRejectDelay  = 1000
 )
 
+const (
+	deployDrainFraction = 0.7 // time that each replica of a rolling deploy drains, as a fraction of the time between two replicas
+	movedNumberStep     = 256 // distance between the address numbers of successive processes of a moved replica
+)
+
+// crashUpstream kills an upstream. It restarts at the end of the fault.
 func crashUpstream(f *activeFault) func() {
 	r := f.replica()
 	r.kill()
 	return r.restart
 }
 
-// isolateUpstream makes an upstream's machine unreachable. At the end the upstream has restarted.
+// isolateUpstream makes an upstream's machine unreachable. At the end of the fault the machine is reachable and the upstream restarts.
 func isolateUpstream(f *activeFault) func() {
 	r := f.replica()
 	f.network().Isolate(r.machine)
@@ -35,6 +39,7 @@
 	}
 }
 
+// freezeUpstream stalls an upstream for the duration of the fault.
 func freezeUpstream(f *activeFault) func() {
 	if process, ok := f.replica().host.(*simnet.Process); ok && !process.Exited() {
 		process.Stall(f.duration())
@@ -42,7 +47,8 @@
 	return nil
 }
 
-// drainUpstream drains an upstream. At the end a new one starts at another address, unless it has crashed meanwhile.
+// drainUpstream drains an upstream. At the end of the fault the upstream terminates, and a new one starts at another address.
+// If the upstream has crashed or restarted during the fault, the end does nothing.
 func drainUpstream(f *activeFault) func() {
 	r := f.replica()
 	if r.down {
@@ -62,7 +68,8 @@
 	}
 }
 
-// replaceUpstream drains an upstream while a new one has its address already.
+// replaceUpstream drains an upstream while a new one already listens on the same address.
+// At the end of the fault the old process ends. An upstream with a balancer for the next tier is not replaced.
 func replaceUpstream(f *activeFault) func() {
 	r := f.replica()
 	if r.down || r.nestedBalancer != nil {
@@ -86,7 +93,7 @@
 	}
 }
 
-// rollingDeploy replaces a fraction of the first tier's upstreams, one after the other.
+// rollingDeploy replaces upstreams of the first tier one after the other. The size of the fault is the fraction that is replaced.
 func rollingDeploy(f *activeFault) func() {
 	replicas := f.cluster.tiers[0].replicas
 	count := int(math.Ceil(f.Size * float64(len(replicas))))
@@ -98,7 +105,8 @@
 	return nil
 }
 
-// deploy drains one replica of a rolling deploy and starts a new one at its address, unless it crashes meanwhile.
+// deploy drains one replica of a rolling deploy and then starts a new one at its address.
+// If the replica crashes or restarts while it drains, no new one is started. The parameter interval is the time in ms until the next replica.
 func (f *activeFault) deploy(r *replica, position int, interval float64) {
 	if r.down {
 		return
@@ -116,8 +124,9 @@
 	})
 }
 
-// disableUpstream lets operators disable an upstream at all balancers of its tier. It restarts meanwhile, and is enabled
-// at the end at the processes that disabled it.
+// disableUpstream sends an operator's override that disables an upstream to all balancers of the upstream's tier.
+// The upstream restarts after a third of the fault and has to stay disabled.
+// At the end of the fault the upstream is enabled at those balancers whose process is still the same.
 func disableUpstream(f *activeFault) func() {
 	c := f.cluster
 	r := f.replica()
--- a/internal/simulation/cluster/fault_upstreams.go
+++ b/internal/simulation/cluster/fault_upstreams.go
@@ -2,10 +2,10 @@
 
 import "salttrack/internal/simulation/fake"
 
-// costlyFraction is the fraction of requests that CostlyRequests makes costly.
+// costlyFraction is the fraction of the requests that a fault of type CostlyRequests makes more expensive.
 const costlyFraction = 0.05
 
-// upstreamFault changes the faults of one upstream, or of all if the fault has no target.
+// upstreamFault changes the UpstreamFaults of the target of a fault, or of all upstreams if the fault has no target.
 type upstreamFault struct {
 	set   func(faults *fake.UpstreamFaults, size float64)
 	reset func(faults *fake.UpstreamFaults)
@@ -50,7 +50,7 @@
 	return func() { f.changeUpstreams(s.reset) }
 }
 
-// changeUpstreams changes the faults of the upstream that a fault applies to, or of all tiers.
+// changeUpstreams changes the UpstreamFaults of the target of the fault, or of all tiers if it has no target.
 func (f *activeFault) changeUpstreams(change func(*fake.UpstreamFaults)) {
 	if f.Target != "" {
 		r := f.replica()
--- a/internal/simulation/cluster/loopback.go
+++ b/internal/simulation/cluster/loopback.go
@@ -10,21 +10,22 @@
 	"salttrack/internal/simulation/simnet"
 )
 
-// loopbackEnvironment is this machine: fakes on loopback addresses, and balancers as processes of the real program.
-// Each fake has a loop of its own, as on the virtual network. A lock lets one loop run at a time, so that nothing else
-// needs one.
+// loopbackEnvironment is the environment of a run on this machine.
+// The fakes run in this process on loopback addresses, and each balancer is a process of the real program.
+// Each host has its own event loop, as on the virtual network.
+// Only the loop that holds the mutex runs, so the state of the fakes needs no other synchronization.
 type loopbackEnvironment struct {
 	mu        sync.Mutex
 	clock     *epoll.Kernel
-	dir       string // for configurations and logs; removed at the end
-	program   string
+	dir       string // temporary directory for configuration files and logs, removed by close
+	program   string // path of the balancer's program
 	hosts     []*loopbackHost
-	balancers sync.WaitGroup // running processes
-	cpuTime   time.Duration  // of all balancers that have exited
-	errors    []string       // of the environment itself
+	balancers sync.WaitGroup // counts the running balancer processes
+	cpuTime   time.Duration  // CPU time of all balancer processes that have exited
+	errors    []string       // errors of event loops, and exits of balancers with an error status
 }
 
-// newLoopbackEnvironment returns an environment for the balancer's program. It is closed by close.
+// newLoopbackEnvironment returns an environment for the balancer's program. The caller has to call close.
 func newLoopbackEnvironment(program string) (*loopbackEnvironment, error) {
 	dir, err := os.MkdirTemp("", "salttrack-sim")
 	if err != nil {
@@ -38,7 +39,7 @@
 	return &loopbackEnvironment{clock: clock, dir: dir, program: program}, nil
 }
 
-// close releases the environment. Hosts and balancers have to be killed before.
+// close releases the clock and removes the temporary directory. All hosts and balancers have to be killed before.
 func (e *loopbackEnvironment) close() {
 	e.clock.Release()
 	os.RemoveAll(e.dir)
@@ -57,7 +58,7 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		callback()
-		for _, h := range e.hosts { // it may have set timers on any loop
+		for _, h := range e.hosts { // the callback may have set timers on any loop
 			h.Wake()
 		}
 	})
@@ -74,7 +75,7 @@
 	return h
 }
 
-// start runs a host's loop in a goroutine that ends with Kill.
+// start runs a host's event loop in a goroutine, which ends when the host is killed.
 func (e *loopbackEnvironment) start(h host) {
 	go func() {
 		e.mu.Lock()
@@ -85,7 +86,7 @@
 	}()
 }
 
-// waitForBalancers waits until all balancers have exited, or until the timeout in ms.
+// waitForBalancers waits until all balancer processes have exited, but at most timeout ms.
 func (e *loopbackEnvironment) waitForBalancers(timeout float64) {
 	exited := make(chan struct{})
 	go func() {
@@ -98,7 +99,7 @@
 	}
 }
 
-// killHosts ends all hosts.
+// killHosts kills all hosts.
 func (e *loopbackEnvironment) killHosts() {
 	for _, h := range e.hosts {
 		h.Kill()
--- a/internal/simulation/cluster/loopback_balancer.go
+++ b/internal/simulation/cluster/loopback_balancer.go
@@ -13,13 +13,13 @@
 // configVariable is the environment variable that names a balancer's configuration file.
 const configVariable = "BALANCER_CONFIG"
 
-// loopbackBalancer is a balancer in a process of the real program.
+// loopbackBalancer is a balancer that runs as a process of the real program.
 type loopbackBalancer struct {
 	cmd        *exec.Cmd
 	configFile string
 }
 
-// startBalancer starts the program. A goroutine waits for its exit and closes its log.
+// startBalancer starts a process of the program with its log in a file. A goroutine waits for the exit and closes the log.
 func (e *loopbackEnvironment) startBalancer(name, _, _ string, config []byte, onExit func(exitState)) balancerProcess {
 	b := &loopbackBalancer{configFile: filepath.Join(e.dir, name+".json")}
 	b.writeConfig(config)
@@ -43,7 +43,8 @@
 	return b
 }
 
-// onBalancerExit handles the exit of a program. An exit by a signal is a kill, which is not reported.
+// onBalancerExit handles the exit of a balancer process: it calls onExit for status 0 and adds an error for another status.
+// The end of a process by a signal is neither, because the simulator sends SIGKILL itself.
 func (e *loopbackEnvironment) onBalancerExit(name string, state *os.ProcessState, err error, onExit func(exitState)) {
 	e.cpuTime += state.UserTime() + state.SystemTime()
 	if err == nil {
@@ -55,7 +56,7 @@
 	}
 }
 
-// writeConfig replaces the configuration file at once.
+// writeConfig replaces the configuration file atomically.
 func (b *loopbackBalancer) writeConfig(config []byte) {
 	temporary := b.configFile + ".new"
 	if err := os.WriteFile(temporary, config, 0o600); err != nil {
@@ -66,6 +67,7 @@
 	}
 }
 
+// pendingWork returns "", because the state of another process can't be read.
 func (b *loopbackBalancer) pendingWork() string { return "" }
 
 func (b *loopbackBalancer) kill() { b.cmd.Process.Kill() }
@@ -78,9 +80,9 @@
 }
 
 func (b *loopbackBalancer) disable(string, func()) {
-	panic("operators' orders are played on the virtual network only")
+	panic("overrides can be sent on the virtual network only")
 }
 
 func (b *loopbackBalancer) enable(string) {
-	panic("operators' orders are played on the virtual network only")
+	panic("overrides can be sent on the virtual network only")
 }
--- a/internal/simulation/cluster/loopback_test.go
+++ b/internal/simulation/cluster/loopback_test.go
@@ -10,7 +10,7 @@
 	"salttrack/internal/simulation/scenario"
 )
 
-// buildProgram builds the balancer's program and returns its path.
+// buildProgram builds the program of the balancer and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "salttrack")
@@ -20,7 +20,8 @@
 	return program
 }
 
-// A scenario is played on loopback sockets, with processes of the real program.
+// Runs a scenario with error responses on loopback sockets, with processes of the real program.
+// The run must violate no rule, and each request must get a response.
 func TestPlayLoopback(t *testing.T) {
 	s := scenario.Generate(1, scenario.Options{Seconds: 2})
 	s.Cluster.Tiers = 1
@@ -35,16 +36,16 @@
 		t.Fatal(err)
 	}
 	if len(result.Violations)+len(result.EnvironmentErrors) > 0 {
-		t.Error(result.Violations, result.EnvironmentErrors)
+		t.Errorf("violations %v, errors of the environment %v", result.Violations, result.EnvironmentErrors)
 	}
 	counts := result.Counts
 	if counts.Requests < 50 || counts.Served+counts.Rejected+counts.Failed != counts.Requests ||
 		counts.Served*2 < counts.Requests || result.CPUSeconds <= 0 {
-		t.Errorf("%+v, %v s of CPU", counts, result.CPUSeconds)
+		t.Errorf("unexpected counts %+v or CPU time %v s", counts, result.CPUSeconds)
 	}
 }
 
-// A fault of the network can't be played on loopback sockets.
+// A scenario with a network partition can't run on loopback sockets. The error must name the fault and its type.
 func TestUnsupportedFault(t *testing.T) {
 	s := scenario.Generate(1, scenario.Options{Seconds: 2})
 	s.Faults = []scenario.Fault{
@@ -53,6 +54,6 @@
 	_, err := PlayLoopback(s, "unused")
 	var unsupported *UnsupportedFaultError
 	if !errors.As(err, &unsupported) || unsupported.ID != "c" || unsupported.Type != names.PartitionWithReset {
-		t.Errorf("%v, want an *UnsupportedFaultError", err)
+		t.Errorf("got error %v, want an *UnsupportedFaultError for fault c", err)
 	}
 }
--- a/internal/simulation/cluster/play.go
+++ b/internal/simulation/cluster/play.go
@@ -15,10 +15,10 @@
 	"salttrack/internal/simulation/simnet"
 )
 
-// virtualStart is the Unix time at which a virtual run starts, in ms.
+// virtualStart is the Unix time in ms at which each run on the virtual network starts.
 const virtualStart = 1.8e12
 
-// Result is the result of a run.
+// Result is the result of a run. Its JSON form is stored in reports.
 type Result struct {
 	Seed       uint64              `json:"seed"`
 	Violations []checker.Violation `json:"violations,omitempty"`
@@ -28,7 +28,7 @@
 	Counts     checker.Counts      `json:"count"`
 }
 
-// FirstRule returns the first rule that was violated, "" if none was.
+// FirstRule returns the rule of the first violation, or "" if there is no violation.
 func (r *Result) FirstRule() names.Rule {
 	if len(r.Violations) == 0 {
 		return ""
@@ -36,18 +36,18 @@
 	return r.Violations[0].Rule
 }
 
-// Violated reports whether a rule was violated.
+// Violated reports whether the run violated the given rule.
 func (r *Result) Violated(rule names.Rule) bool {
 	return slices.ContainsFunc(r.Violations, func(v checker.Violation) bool { return v.Rule == rule })
 }
 
-// Options of a run.
+// Options are the outputs of a run, which have no effect on the run itself.
 type Options struct {
-	Trace io.Writer // receives a line for each event on the network; nil for none
-	Log   io.Writer // receives the balancers' logs; nil for none
+	Trace io.Writer // receives a line for each event on the virtual network; nil for no trace
+	Log   io.Writer // receives the logs of the balancers; nil for no logs
 }
 
-// Play plays a scenario on the virtual network. A panic of the program is a violation.
+// Play runs a scenario on the virtual network. A panic during the run is reported as a violation of the rule names.Panic.
 func Play(s *scenario.Scenario, options Options) (result Result) {
 	network := simnet.New(s.Seed, virtualStart, pathsOf(s.Cluster))
 	if options.Trace != nil {
@@ -68,7 +68,7 @@
 	return c.result(network)
 }
 
-// newLogger returns the balancers' logger, which is silent without a writer.
+// newLogger returns the logger of the balancers. It discards all messages if the writer is nil.
 func newLogger(w io.Writer) *logrus.Entry {
 	logger := logrus.New()
 	if w == nil {
@@ -81,7 +81,7 @@
 	return logrus.NewEntry(logger)
 }
 
-// pathsOf returns the paths between zones.
+// pathsOf returns a function that returns the network path between two zones of a cluster.
 func pathsOf(s scenario.Cluster) func(a, b string) simnet.Path {
 	return func(a, b string) simnet.Path {
 		path := simnet.Path{Latency: s.CrossZoneMS, Jitter: s.Jitter}
@@ -92,6 +92,7 @@
 	}
 }
 
+// result returns the result of a run on the virtual network.
 func (c *cluster) result(network *simnet.Network) Result {
 	return Result{
 		Seed:       c.scenario.Seed,
@@ -103,10 +104,10 @@
 	}
 }
 
-// maxStackLines of a panic are reported.
+// maxStackLines is the number of stack frames that the violation of a panic names.
 const maxStackLines = 6
 
-// panicStack returns the program's functions below the present panic.
+// panicStack returns the innermost functions of this project on the stack of the current panic, one per line.
 func panicStack() string {
 	all := strings.Split(string(debug.Stack()), "\n")
 	start := 0
--- a/internal/simulation/cluster/play_loopback.go
+++ b/internal/simulation/cluster/play_loopback.go
@@ -10,24 +10,24 @@
 // LoopbackResult is the result of a run on loopback sockets.
 type LoopbackResult struct {
 	Result
-	CPUSeconds          float64  `json:"cpu_seconds"`        // of the balancers
-	CPUMicrosPerRequest float64  `json:"cpu_us_per_request"` // of the clients' requests
-	EnvironmentErrors   []string `json:"faults,omitempty"`   // of the simulator itself
+	CPUSeconds          float64  `json:"cpu_seconds"`        // CPU time of all balancer processes
+	CPUMicrosPerRequest float64  `json:"cpu_us_per_request"` // CPU time of the balancers in microseconds, divided by the requests of clients
+	EnvironmentErrors   []string `json:"faults,omitempty"`   // errors of event loops, and exits of balancers with an error status
 }
 
-// UnsupportedFaultError tells that a fault can't be played on loopback sockets.
+// UnsupportedFaultError is the error for a fault that can't be played on loopback sockets.
 type UnsupportedFaultError struct {
 	ID   string
 	Type names.FaultType
 }
 
-// Error names the fault and its type.
+// Error returns a message with the ID and the type of the fault.
 func (e *UnsupportedFaultError) Error() string {
 	return fmt.Sprintf("fault %s: type %s can be played on the virtual network only", e.ID, e.Type)
 }
 
-// PlayLoopback plays a scenario with processes of the balancer's program on loopback addresses, in real time. A scenario
-// with faults of the network or of CPUs gives an *UnsupportedFaultError.
+// PlayLoopback runs a scenario in real time on loopback sockets. Each balancer is a process of the given program.
+// A fault whose type needs the virtual network, such as a partition or a stall, causes an *UnsupportedFaultError.
 func PlayLoopback(s *scenario.Scenario, program string) (*LoopbackResult, error) {
 	for _, f := range s.Faults {
 		if !scenario.FindFaultSpec(f.Type).OnLoopback {
@@ -57,13 +57,14 @@
 	return c.loopbackResult(e, startedAt), nil
 }
 
-// withLock makes a call with no loop running meanwhile.
+// withLock calls a function with the mutex locked, so that no event loop runs meanwhile.
 func (e *loopbackEnvironment) withLock(call func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	call()
 }
 
+// loopbackResult returns the result of a run on loopback sockets. The parameter startedAt is the start of the run in ms.
 func (c *cluster) loopbackResult(e *loopbackEnvironment, startedAt float64) *LoopbackResult {
 	counts := c.checker.Counts
 	return &LoopbackResult{
--- a/internal/simulation/cluster/replica.go
+++ b/internal/simulation/cluster/replica.go
@@ -8,14 +8,15 @@
 	"salttrack/internal/simulation/names"
 )
 
+// Parameters of all upstreams.
 const (
-	overloadMultiple = 3.0    // of the capacity of a warming upstream, which crashes it
-	overloadDuration = 1500.0 // ms; requests of this period count as the load of a warming upstream
-	serviceTimeCV    = 0.4    // standard deviation over mean of the service times
-	replicasPerCell  = 4
+	overloadMultiple = 3.0    // a warming upstream crashes if its load exceeds this multiple of its current capacity
+	overloadDuration = 1500.0 // period in ms over which the load of a warming upstream is measured
+	serviceTimeCV    = 0.4    // coefficient of variation of the service times: standard deviation divided by mean
+	replicasPerCell  = 4      // replicas with successive numbers that discovery lists in the same cell
 )
 
-// replica is one upstream of a tier, through all its processes.
+// replica is one upstream of a tier. It exists for the whole run and has one process after the other.
 type replica struct {
 	cluster        *cluster
 	tier           *tier
@@ -24,17 +25,17 @@
 	zone           string
 	machine        string
 	addr           netip.AddrPort
-	id             string // in discovery; another one after a replacement
-	generation     int    // processes so far
-	upstream       *fake.Upstream
-	host           host
-	ownFaults  fake.UpstreamFaults
-	combinedFaults         fake.UpstreamFaults // its own and those of the tier, as the upstream reads them
-	nestedBalancer *balancer           // for its calls to the next tier, nil on the last tier
-	down           bool
+	id             string              // upstream name in discovery; changes when a new upstream replaces the old one
+	generation     int                 // number of processes started so far
+	upstream       *fake.Upstream      // the current or the last process
+	host           host                // host of that process
+	ownFaults      fake.UpstreamFaults // faults whose target is this replica
+	combinedFaults fake.UpstreamFaults // ownFaults combined with the faults of the tier; the upstream reads them
+	nestedBalancer *balancer           // balancer for the calls to the next tier; nil on the last tier
+	down           bool                // no process is running
 }
 
-// newReplica starts a replica, and its balancer for the next tier.
+// newReplica adds a replica to a tier and starts it, warmed up. Before the last tier it also adds the balancer for the next tier.
 func (c *cluster) newReplica(t *tier, number int) {
 	s := &c.scenario.Cluster
 	r := &replica{
@@ -62,7 +63,7 @@
 	r.publish(fake.InService, 0)
 }
 
-// publish publishes the replica's phase to discovery.
+// publish sets the replica's endpoint in discovery. The parameter startedAt is the start of the upstream in ms of Unix time, 0 if unknown.
 func (r *replica) publish(phase fake.Phase, startedAt float64) {
 	r.tier.registry.Set(fake.Endpoint{
 		ID:        r.id,
@@ -75,7 +76,7 @@
 	})
 }
 
-// start starts a new process of the replica.
+// start starts a new process of the replica. The parameter warm means that the upstream has its full capacity at once.
 func (r *replica) start(warm bool) {
 	r.generation++
 	r.host = r.cluster.environment.spawn(fmt.Sprintf(names.UpstreamProcess, r.name, r.generation), r.machine, r.zone)
@@ -88,12 +89,13 @@
 	}
 	upstream, err := fake.NewUpstream(options)
 	if err != nil {
-		panic(err) // the simulator has assigned its address
+		panic(err) // the simulator assigns each address to one listener at a time
 	}
 	r.upstream = upstream
 	r.cluster.environment.start(r.host)
 }
 
+// upstreamOptions returns the options of the replica's next process. An upstream with an odd number serves queued requests after their deadline too.
 func (r *replica) upstreamOptions() fake.UpstreamOptions {
 	c := r.cluster
 	s := &c.scenario.Cluster
@@ -129,6 +131,7 @@
 	return options
 }
 
+// newNestedCaller returns the client that calls the next tier through the nested balancer.
 func (r *replica) newNestedCaller() *fake.NestedCaller {
 	c := r.cluster
 	return fake.NewNestedCaller(fake.NestedCallerOptions{
@@ -141,7 +144,7 @@
 	})
 }
 
-// kill ends the replica's process, and its balancer's for the next tier.
+// kill kills the replica's process, and the process of its nested balancer, which runs on the same machine.
 func (r *replica) kill() {
 	if r.down {
 		return
@@ -153,7 +156,7 @@
 	}
 }
 
-// restart starts a new process of a replica that is down, and publishes it to discovery.
+// restart starts a new process and publishes it to discovery. The upstream has to warm up. It does nothing if the replica is not down.
 func (r *replica) restart() {
 	if !r.down {
 		return
@@ -165,14 +168,14 @@
 	r.publish(fake.InService, r.cluster.wallClock())
 }
 
-// replaceProcess starts the process of a new upstream in the replica's place. The old process is not ended.
+// replaceProcess starts a new upstream with a new name in discovery. It does not end the old process.
 func (r *replica) replaceProcess() {
 	r.id = fmt.Sprintf(names.UpstreamGeneration, r.tier.number, r.number, r.generation)
 	r.down = true
 	r.restart()
 }
 
-// combineFaults combines the replica's own faults with those of its tier.
+// combineFaults computes combinedFaults from ownFaults and the faults of the tier.
 func (r *replica) combineFaults() {
 	own := r.ownFaults
 	tier := r.tier.faults
--- a/internal/simulation/cluster/shutdown.go
+++ b/internal/simulation/cluster/shutdown.go
@@ -5,28 +5,29 @@
 )
 
 const (
-	// quietPeriod is the time from the last request to the shutdown: more than the longest deadline.
+	// quietPeriod is the time in ms from the end of the load to the shutdown of the balancers.
+	// It is longer than the longest deadline, so no request may be in progress at its end.
 	quietPeriod = 4500.0
 
-	// shutdownTimeout is the time that all balancers have to exit.
+	// shutdownTimeout is the time in ms within which all balancers have to exit.
 	shutdownTimeout = 6000.0
 
-	// The platform may kill a process killMargin after the longest deadline, of which at most maxCountedDeadline counts,
-	// from SIGTERM on.
+	// The earliest time at which the platform may send SIGKILL after SIGTERM, in ms,
+	// is the longest deadline, but at most maxCountedDeadline, plus killGracePeriod.
 	maxCountedDeadline = 3000.0
-	killGracePeriod          = 700.0
+	killGracePeriod    = 700.0
 )
 
-// shutDown terminates all balancers. Nothing may be open so long after the last deadline.
+// shutDown sends SIGTERM to all balancers. It reports balancers that still have unfinished work after the quiet period.
 func (c *cluster) shutDown() {
 	c.shuttingDown = true
 	for _, b := range c.balancers {
 		if b.down && b.tier == 0 {
-			c.checker.Report(names.ShutdownTimeout, c.now(), "error of the simulator: %s is down at the end of the run", b.name)
+			c.checker.Report(names.ShutdownTimeout, c.now(), "simulator error: %s is down at the end of the run", b.name)
 		}
 		if !b.down && !b.terminating {
 			if pending := b.process.pendingWork(); pending != "" {
-				c.checker.Report(names.LeakedState, c.now(), "%s still has %s, %.0f ms after the last request", b.name, pending,
+				c.checker.Report(names.LeakedState, c.now(), "%s still has %s %.0f ms after the end of the load", b.name, pending,
 					quietPeriod)
 			}
 		}
@@ -34,7 +35,7 @@
 	}
 }
 
-// checkShutDown checks that all balancers have exited and all requests have ended.
+// checkShutDown checks that all balancers have exited and that the clients have no open requests.
 func (c *cluster) checkShutDown() {
 	for _, b := range c.balancers {
 		if !b.down {
@@ -43,13 +44,13 @@
 	}
 	for _, clients := range c.clients {
 		if open := clients.OpenRequests(); open != 0 {
-			c.checker.Report(names.LeakedState, c.now(), "error of the simulator: %d requests of clients in %s are open", open,
+			c.checker.Report(names.LeakedState, c.now(), "simulator error: %d requests of clients in zone %s are open", open,
 				clients.Zone)
 		}
 	}
 }
 
-// earliestKillDelay returns how long after SIGTERM the platform may kill a process.
+// earliestKillDelay returns the shortest time in ms from SIGTERM until the platform may send SIGKILL.
 func (c *cluster) earliestKillDelay() float64 {
 	longest := 0.0
 	for _, class := range c.classes {
--- a/internal/simulation/cluster/virtual_balancer.go
+++ b/internal/simulation/cluster/virtual_balancer.go
@@ -6,16 +6,17 @@
 	"salttrack/internal/simulation/simnet"
 )
 
-// virtualBalancer is a balancer in a process of the virtual network. Its code is that of the real program.
+// virtualBalancer is a balancer that runs as a process of the virtual network. It runs the code of the real program.
 type virtualBalancer struct {
 	process *simnet.Process
 	node    *node.Node
 }
 
+// startBalancer starts a process of the virtual network whose kernel can inject faults into system calls.
 func (e *virtualEnvironment) startBalancer(name, machine, zone string, config []byte, onExit func(exitState)) balancerProcess {
 	parsed, err := node.Parse(config, nil)
 	if err != nil {
-		panic(err) // the simulator has written it
+		panic(err) // the simulator itself wrote the configuration
 	}
 	process := e.net.Spawn(name, machine, zone, parsed.Limits.Sockets)
 	kernel := faultinject.New(process, processSeed(0, name), nil, nil)
@@ -61,7 +62,8 @@
 
 func (b *virtualBalancer) enable(upstream string) { b.override(upstream, false, func() {}) }
 
-// override gives an operator's order for an upstream that the balancer lists.
+// override sends an operator's override for an upstream. It does nothing if the balancer does not know the upstream.
+// It calls onConfirmed when the balancer has applied the override without an error.
 func (b *virtualBalancer) override(upstream string, disabled bool, onConfirmed func()) {
 	b.process.Loop().Post(func() {
 		if !b.node.KnowsUpstream(upstream) {
--- a/internal/simulation/cluster/virtual_environment.go
+++ b/internal/simulation/cluster/virtual_environment.go
@@ -7,10 +7,10 @@
 	"salttrack/internal/simulation/simnet"
 )
 
-// maxHostDescriptors is more than the fakes of a host need.
+// maxHostDescriptors is the descriptor limit of a host. It is higher than the fakes of any host need.
 const maxHostDescriptors = 1 << 16
 
-// virtualEnvironment is the virtual network.
+// virtualEnvironment is the environment of a run on the virtual network.
 type virtualEnvironment struct {
 	net       *simnet.Network
 	log       *logrus.Entry
