--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -1,6 +1,6 @@
-// Package checker checks a simulated run against the rules in package names.
-// The checks use only what the fake clients, upstreams and discovery agents recorded.
-// Of the balancer's own reports only the counters are used: they are compared with the records.
+// Package checker checks a run of the simulator against the rules that package names lists.
+// The checks use only the records of the fake clients, upstreams and discovery agents.
+// The only data that a balancer itself reports are its counters, which are compared with these records.
 // All times are in milliseconds.
 package checker
 
@@ -25,8 +25,8 @@
 
 // Environment reports the conditions of a run that excuse a balancer from a rule.
 type Environment interface {
-	// LastResume returns the time at which the last stall of a balancer's process between from and to ended.
-	// It returns 0 if the process was not stalled in that time. A stalled process has no CPU and can't act.
+	// LastResume returns the latest end of the stalls of a balancer's process that overlap the time between from and to.
+	// It returns 0 if there is no such stall. A stalled process gets no CPU and can't act.
 	LastResume(balancer string, from, to float64) float64
 	// Exempt reports whether a balancer was killed, or unreachable from a client, at some time between from and to.
 	Exempt(balancer, client string, from, to float64) bool
@@ -39,12 +39,12 @@
 	StartedAt    float64 // start of the run; the times of violations are relative to it
 	Classes      []balance.Class
 	MaxAttempts  int     // attempts allowed for each request
-	DrainGraceMS float64 // how long a balancer may use an upstream after it was informed that the upstream drains
+	DrainGraceMS float64 // how long a balancer may use an upstream after the update that reports it as terminating or terminated
 	ToleranceMS  float64 // added to each time limit
 	ExactTimes   bool    // the recorded times are the times on the wire, without delays of the recording process
 }
 
-// maxViolations is the limit of stored violations of one run. Later violations are dropped.
+// maxViolations is the greatest number of violations that are stored for a run. Later violations are dropped.
 const maxViolations = 50
 
 // earlyResponseMarginMS is how long before a time limit, in ms, a balancer may begin to respond.
@@ -62,7 +62,7 @@
 	attempts    int     // attempts that upstreams received
 }
 
-// endpointKey identifies the state of one upstream as one balancer process knows it.
+// endpointKey identifies the state of one upstream at one balancer process. Both names are needed because each process is informed separately.
 type endpointKey struct{ balancer, upstream string }
 
 // Checker records the events of one run and checks them. It implements fake.Recorder.
@@ -77,9 +77,9 @@
 	requests       map[string]*request       // by request ID
 	producedBodies map[string][]string       // response bodies of upstreams, by request ID
 	executionSites map[string][]string       // upstream and zone of each execution, by root ID of a non-idempotent request or by idempotency key
-	drainingSince  map[endpointKey]float64   // time of the first update by which the upstream was draining or terminated
+	drainingSince  map[endpointKey]float64   // time of the first update that reported the upstream as terminating or terminated
 	disabledSince  map[endpointKey]float64   // time at which the balancer confirmed that it disabled the upstream
-	announcedStart map[endpointKey]float64   // start time of the upstream in the last update
+	announcedStart map[endpointKey]float64   // start time of the upstream in the last update that the balancer got
 	recentAttempts map[string][]fake.Attempt // by upstream
 	processCounts  map[string]*processCounts // by balancer process
 }
@@ -154,7 +154,7 @@
 	return max(r.Deadline, resumed) + c.limits.ToleranceMS + c.environment.MaxTransitMS(r.Balancer, r.Client)
 }
 
-// exempt reports whether a request's balancer was killed or unreachable from the client between the sending of the request and the parameter at.
+// exempt reports whether the balancer of a request was killed, or unreachable from the client, between the sending of the request and the time at.
 func (c *Checker) exempt(r *request, at float64) bool {
 	return c.environment.Exempt(r.Balancer, r.Client, r.SentAt, at)
 }
--- a/internal/simulation/checker/clients.go
+++ b/internal/simulation/checker/clients.go
@@ -11,7 +11,7 @@
 // malformedInputTimeout is the time in ms within which a balancer has to reject malformed input or close its connection.
 const malformedInputTimeout = 3000.0
 
-// RequestSent adds a request. A request that the client sent again on another connection updates its first record.
+// RequestSent adds a request. If the client sent the same request again on another connection, its existing record is updated.
 func (c *Checker) RequestSent(sent fake.Request) {
 	c.countsOf(sent.Balancer).requests++
 	existing := c.requests[sent.ID]
--- a/internal/simulation/checker/discovery.go
+++ b/internal/simulation/checker/discovery.go
@@ -25,7 +25,7 @@
 }
 
 // UpstreamEnabled records that an operator is about to enable an upstream at a balancer process again.
-// It is called before the override is sent, because attempts may follow the override at once.
+// It is called before the override is sent, because the balancer may send attempts to the upstream as soon as it has the override.
 func (c *Checker) UpstreamEnabled(balancer, upstream string) {
 	delete(c.disabledSince, endpointKey{balancer, upstream})
 }
--- a/internal/simulation/checker/upstreams.go
+++ b/internal/simulation/checker/upstreams.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxRecentAttempts  = 200    // most attempts that are stored for each upstream
+	maxRecentAttempts  = 200    // greatest number of attempts that are stored for each upstream
 	recentAttemptsSpan = 5000.0 // how long an attempt is stored, in ms
 
 	// exactTimesTolerance is the tolerance in ms for an attempt after the final response, if the recorded times are exact.
@@ -46,8 +46,8 @@
 	c.checkNotCancelledBefore(r, attempt)
 }
 
-// addRecentAttempt stores an attempt.
-// It removes the oldest attempts of the same upstream that exceed maxRecentAttempts or recentAttemptsSpan.
+// addRecentAttempt stores an attempt, and removes the oldest attempts of the same upstream.
+// It keeps at most maxRecentAttempts, and none that are older than recentAttemptsSpan.
 func (c *Checker) addRecentAttempt(attempt fake.Attempt) {
 	list := append(c.recentAttempts[attempt.Upstream], attempt)
 	for len(list) > maxRecentAttempts || list[0].LastByteAt < attempt.LastByteAt-recentAttemptsSpan {
@@ -115,7 +115,7 @@
 		c.Report(names.FalseRejection, execution.At, "%s of class %d was executed at %s after its rejection", r.ID, r.Class,
 			execution.Upstream)
 	}
-	var identity string // only one execution is allowed for each value
+	var identity string // root ID or idempotency key; only one execution is allowed for each value
 	switch c.limits.Classes[r.Class].Idempotency {
 	case balance.NonIdempotent:
 		identity = r.RootID
--- a/internal/simulation/cluster/balancer.go
+++ b/internal/simulation/cluster/balancer.go
@@ -12,12 +12,12 @@
 
 // Times of the balancers' starts, restarts and discovery agents, in ms.
 const (
-	// A cluster starts its balancers in balancersPerStart groups.
+	// A cluster starts its balancers in balancerStartGroups groups.
 	// The first group starts firstBalancerStart after the start of the run, when the upstreams are in discovery.
 	// Each further group starts balancerStartInterval after the one before.
 	firstBalancerStart    = 10.0
 	balancerStartInterval = 40.0
-	balancersPerStart     = 5
+	balancerStartGroups   = 5
 
 	restartDelay          = 100.0  // from a graceful exit to the next start
 	minRestartNoticeDelay = 200.0  // shortest time from SIGTERM until clients stop using the balancer
@@ -37,7 +37,8 @@
 	instances int // number of balancers of the tier
 }
 
-// balancer is one balancer and the discovery agent on its machine. It exists for the whole run and has one process after the other.
+// balancer is one balancer and the discovery agent on its machine.
+// It exists for the whole run, also while no process of it is running; each start creates a new process.
 type balancer struct {
 	balancerOptions
 	cluster         *cluster
@@ -68,7 +69,7 @@
 	b.agentHost = c.environment.spawn(names.DiscoveryAgentPrefix+b.name, b.machine, b.zone)
 	b.startAgent()
 	c.environment.start(b.agentHost)
-	delay := firstBalancerStart + balancerStartInterval*float64(number%balancersPerStart)
+	delay := firstBalancerStart + balancerStartInterval*float64(number%balancerStartGroups)
 	c.environment.schedule(c.loadStart-loadStartDelay+delay, names.BalancerStart+b.name, b.start)
 	return b
 }
@@ -89,7 +90,7 @@
 		Lag:      rng.Between(minAgentLag, maxAgentLag),
 	}, b.agentAddr)
 	if err != nil {
-		panic(err) // the simulator assigns each address only once
+		panic(err) // the simulator assigns a free address
 	}
 	b.agent = agent
 }
@@ -129,7 +130,8 @@
 }
 
 // terminate sends SIGTERM to the balancer's process.
-// Each balancer pool stops using the balancer after a random delay. A check of the exit is scheduled for the earliest SIGKILL.
+// Each balancer pool stops using the balancer after a random delay.
+// At the earliest time at which the platform may send SIGKILL, checkExited checks that the process has exited.
 func (b *balancer) terminate() {
 	if b.down || b.terminating {
 		return
--- a/internal/simulation/cluster/environment.go
+++ b/internal/simulation/cluster/environment.go
@@ -9,7 +9,7 @@
 type environment interface {
 	// now returns the current time in ms.
 	now() float64
-	// schedule calls callback at the given time, while no event loop runs. Events of the same time are sorted by name.
+	// schedule calls callback at the given time, while no event loop runs. The name determines the sequence of events of the same time.
 	schedule(at float64, name string, callback func())
 	// spawn returns a host for fakes. The host does not run before start.
 	spawn(name, machine, zone string) host
--- a/internal/simulation/cluster/exemption.go
+++ b/internal/simulation/cluster/exemption.go
@@ -10,8 +10,7 @@
 	// exemptionMargin is the time in ms after the end of a kill or a partition in which it still exempts requests.
 	exemptionMargin = 100
 
-	// defaultTransitMS is the transit time for processes other than clients.
-	// These are upstreams, which call a balancer on their own machine.
+	// defaultTransitMS is the transit time between a balancer and an upstream that calls it, which run on the same machine.
 	defaultTransitMS = 1
 
 	// maxTransitDelays is the greatest number of one-way delays that data may need.
@@ -19,8 +18,8 @@
 	maxTransitDelays = 3
 )
 
-// LastResume returns the time at which the last stall of a balancer's process between from and to ended.
-// It returns 0 if there was no stall in that time. On loopback sockets it always returns 0.
+// LastResume returns the latest end of the stalls of a balancer's process that overlap the time between from and to.
+// It returns 0 if there is no such stall, and always on loopback sockets.
 func (c *cluster) LastResume(process string, from, to float64) float64 {
 	virtual, ok := c.environment.(*virtualEnvironment)
 	if !ok {
--- a/internal/simulation/cluster/fault.go
+++ b/internal/simulation/cluster/fault.go
@@ -106,7 +106,7 @@
 // duration returns the duration of the fault in ms.
 func (f *activeFault) duration() float64 { return f.endsAt - f.startsAt }
 
-// after calls callback after the given number of ms. Events of the same time are sorted by name.
+// after calls callback after the given number of ms. The name determines the sequence of events of the same time.
 func (f *activeFault) after(ms float64, name string, callback func()) {
 	f.cluster.environment.schedule(f.cluster.now()+ms, name+"/"+f.ID, callback)
 }
--- a/internal/simulation/cluster/fault_balancers.go
+++ b/internal/simulation/cluster/fault_balancers.go
@@ -97,7 +97,7 @@
 }
 
 // exhaustedResources returns rules by which calls fail for lack of descriptors, memory or ports, or because of the network.
-// The errors are those that the manual pages of Linux name for each call. The less likely errors have a half or a quarter of the fraction.
+// The errors are those that Linux documents for each call. Each rule fails the given fraction of the calls, or a half or a quarter of it.
 func exhaustedResources(fraction float64) []faultinject.Rule {
 	return []faultinject.Rule{
 		{Call: faultinject.Accept, Errno: unix.ENFILE, Fraction: fraction},
--- a/internal/simulation/cluster/replica.go
+++ b/internal/simulation/cluster/replica.go
@@ -16,7 +16,8 @@
 	replicasPerCell  = 4      // replicas with successive numbers that discovery lists in the same cell
 )
 
-// replica is one upstream of a tier. It exists for the whole run and has one process after the other.
+// replica is one upstream of a tier.
+// It exists for the whole run, also while no process of it is running; each start creates a new process.
 type replica struct {
 	cluster        *cluster
 	tier           *tier
@@ -35,7 +36,8 @@
 	down           bool                // no process is running
 }
 
-// newReplica adds a replica to a tier and starts it, warmed up. Before the last tier it also adds the balancer for the next tier.
+// newReplica adds a replica to a tier and starts it with full capacity.
+// Unless the tier is the last one, it also adds the balancer through which the replica calls the next tier.
 func (c *cluster) newReplica(t *tier, number int) {
 	s := &c.scenario.Cluster
 	r := &replica{
@@ -63,7 +65,8 @@
 	r.publish(fake.InService, 0)
 }
 
-// publish sets the replica's endpoint in discovery. The parameter startedAt is the start of the upstream in ms of Unix time, 0 if unknown.
+// publish sets the replica's endpoint in discovery.
+// The parameter startedAt is the Unix time in ms at which a warming upstream started, and 0 otherwise.
 func (r *replica) publish(phase fake.Phase, startedAt float64) {
 	r.tier.registry.Set(fake.Endpoint{
 		ID:        r.id,
@@ -76,7 +79,7 @@
 	})
 }
 
-// start starts a new process of the replica. The parameter warm means that the upstream has its full capacity at once.
+// start starts a new process of the replica. If warm is true, the upstream has its full capacity at once; otherwise it warms up.
 func (r *replica) start(warm bool) {
 	r.generation++
 	r.host = r.cluster.environment.spawn(fmt.Sprintf(names.UpstreamProcess, r.name, r.generation), r.machine, r.zone)
@@ -89,13 +92,14 @@
 	}
 	upstream, err := fake.NewUpstream(options)
 	if err != nil {
-		panic(err) // the simulator assigns each address to one listener at a time
+		panic(err) // the simulator assigns a free address
 	}
 	r.upstream = upstream
 	r.cluster.environment.start(r.host)
 }
 
-// upstreamOptions returns the options of the replica's next process. An upstream with an odd number serves queued requests after their deadline too.
+// upstreamOptions returns the options of the replica's current process.
+// Replicas with an even number drop queued requests whose deadline has passed; the others serve them.
 func (r *replica) upstreamOptions() fake.UpstreamOptions {
 	c := r.cluster
 	s := &c.scenario.Cluster
@@ -156,7 +160,7 @@
 	}
 }
 
-// restart starts a new process and publishes it to discovery. The upstream has to warm up. It does nothing if the replica is not down.
+// restart starts a new process, which has to warm up, and publishes it to discovery. It does nothing if the replica is not down.
 func (r *replica) restart() {
 	if !r.down {
 		return
