--- a/internal/simulation/cluster/balancer.go
+++ b/internal/simulation/cluster/balancer.go
@@ -90,7 +90,7 @@
 		Lag:      rng.Between(minAgentLag, maxAgentLag),
 	}, b.agentAddr)
 	if err != nil {
-		panic(err) // the simulator assigns a free address
+		panic(err) // only on loopback sockets, if another run on this machine uses the same address
 	}
 	b.agent = agent
 }
--- a/internal/simulation/cluster/replica.go
+++ b/internal/simulation/cluster/replica.go
@@ -92,7 +92,7 @@
 	}
 	upstream, err := fake.NewUpstream(options)
 	if err != nil {
-		panic(err) // the simulator assigns a free address
+		panic(err) // only on loopback sockets, if another run on this machine uses the same address
 	}
 	r.upstream = upstream
 	r.cluster.environment.start(r.host)
