--- a/internal/simulation/checker/counters.go
+++ b/internal/simulation/checker/counters.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// compareResponses compares the number of responses of one kind (served or rejected) that a balancer counted with the number that its clients received.
-// Pending requests and requests without a response may be counted by the balancer as any kind.
+// compareResponses compares a balancer's count of responses of one kind, served or rejected, with the number that its clients received.
+// The balancer may have counted pending requests and requests without a response as either kind.
 func (c *Checker) compareResponses(balancer string, at float64, kind string, received, counted int) {
 	p := c.countsOf(balancer)
 	if received <= counted && counted <= received+p.noResponse+p.pending() {
--- a/internal/simulation/cluster/fault.go
+++ b/internal/simulation/cluster/fault.go
@@ -138,7 +138,7 @@
 }
 
 // disconnects reports whether the fault is a partition that makes a balancer unreachable from a zone.
-// If the zone is "", any partition counts.
+// If the zone is "", it reports whether the fault is a partition of any zones.
 func (f *activeFault) disconnects(zone string, b *balancer) bool {
 	if f.Type != names.PartitionWithReset && f.Type != names.PartitionWithPause {
 		return false
--- a/internal/simulation/cluster/fault_network.go
+++ b/internal/simulation/cluster/fault_network.go
@@ -2,7 +2,7 @@
 
 import "salttrack/internal/simulation/simnet"
 
-// partition is a network partition between two zones. The field onHeal tells what happens to open connections at its end.
+// partition is a network partition between two zones. The field onHeal selects whether open connections are resumed or reset at its end.
 type partition struct{ onHeal simnet.HealMode }
 
 func (p partition) begin(f *activeFault) func() {
--- a/internal/simulation/cluster/shutdown.go
+++ b/internal/simulation/cluster/shutdown.go
@@ -12,10 +12,13 @@
 	// shutdownTimeout is the time in ms within which all balancers have to exit.
 	shutdownTimeout = 6000.0
 
-	// The earliest time at which the platform may send SIGKILL after SIGTERM, in ms,
-	// is the longest deadline, but at most maxCountedDeadline, plus killGracePeriod.
+	// maxCountedDeadline is the greatest deadline in ms that delays the SIGKILL of the platform.
+	// A longer deadline counts as this one.
 	maxCountedDeadline = 3000.0
-	killGracePeriod    = 700.0
+
+	// killGracePeriod is the time in ms that the platform adds to the longest deadline.
+	// SIGKILL may follow SIGTERM after the sum of both.
+	killGracePeriod = 700.0
 )
 
 // shutDown sends SIGTERM to all balancers. It reports balancers that still have unfinished work after the quiet period.
