--- a/internal/simulation/cluster/exemption.go
+++ b/internal/simulation/cluster/exemption.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// exemptionMargin is how long before a span, in ms, a kill or a partition still has an effect.
+	// exemptionMargin is the time in ms after the end of a kill or a partition in which it still exempts requests.
 	exemptionMargin = 100
 
-	// defaultTransitMS is the transit time to a balancer that a client process does not use directly.
+	// defaultTransitMS is the transit time between a balancer and an upstream that calls it, which run on the same machine.
 	defaultTransitMS = 1
 
-	// maxTransitPassages is how many one-way passages data may need: for the data, its loss, and what follows.
-	maxTransitPassages = 3
+	// maxTransitDelays is the greatest number of one-way delays that data may need.
+	// One is for the data, one for the notice that it was lost, and one for the data that follows.
+	maxTransitDelays = 3
 )
 
-// LastResume returns when a balancer's process last got its CPU back that it had not at some time of a span.
+// LastResume returns the latest end of the stalls of a balancer's process that overlap the time between from and to.
+// It returns 0 if there is no such stall, and always on loopback sockets.
 func (c *cluster) LastResume(process string, from, to float64) float64 {
 	virtual, ok := c.environment.(*virtualEnvironment)
 	if !ok {
@@ -29,9 +31,10 @@
 	return 0
 }
 
-// Exempt reports whether a balancer was killed or unreachable for a client in a span.
+// Exempt reports whether a balancer was killed or unreachable from a client at some time between from and to.
+// A kill or a partition that ended at most exemptionMargin before from counts too. A process of no known balancer is exempt.
 func (c *cluster) Exempt(process, client string, from, to float64) bool {
-	b := c.balancerOf(process)
+	b := c.findBalancer(process)
 	if b == nil {
 		return true
 	}
@@ -42,16 +45,17 @@
 		}
 	}
 	for _, fault := range c.faults {
-		if fault.startsAt <= to && fault.endsAt >= from && fault.separates(clientZone(client), b) {
+		if fault.startsAt <= to && fault.endsAt >= from && fault.disconnects(clientZone(client), b) {
 			return true
 		}
 	}
 	return false
 }
 
-// MaxTransitMS returns how long data may be in transit between a client and a balancer.
+// MaxTransitMS returns the longest time in ms that data may be in transit between a client and a balancer.
+// Between zones it assumes that all latency faults of the run are active.
 func (c *cluster) MaxTransitMS(process, client string) float64 {
-	b := c.balancerOf(process)
+	b := c.findBalancer(process)
 	zone := clientZone(client)
 	if b == nil || zone == "" {
 		return defaultTransitMS
@@ -66,11 +70,11 @@
 			}
 		}
 	}
-	return maxTransitPassages * latency * (1 + s.Jitter)
+	return maxTransitDelays * latency * (1 + s.Jitter)
 }
 
-// balancerOf returns the balancer of a process, or of its own name, nil if there is none.
-func (c *cluster) balancerOf(process string) *balancer {
+// findBalancer returns the balancer with the given name, or with a process of the given name. It returns nil if there is none.
+func (c *cluster) findBalancer(process string) *balancer {
 	name, _, _ := strings.Cut(process, ".")
 	for _, b := range c.balancers {
 		if b.name == name {
@@ -80,7 +84,7 @@
 	return nil
 }
 
-// clientZone returns the zone of a client process, "" for another process.
+// clientZone returns the zone of a client process, or "" if the process is no client.
 func clientZone(client string) string {
 	zone, ok := strings.CutPrefix(client, names.ClientProcessPrefix)
 	if !ok {
--- a/internal/simulation/cluster/fault.go
+++ b/internal/simulation/cluster/fault.go
@@ -10,14 +10,14 @@
 	"salttrack/internal/simulation/simnet"
 )
 
-// faultType is how faults of one type are played.
-type faultType interface {
-	// begin starts the effect of a fault and returns what ends it, nil if nothing has to be done at the fault's end.
+// faultEffect is the effect that the faults of one type have on the cluster.
+type faultEffect interface {
+	// begin starts the effect of a fault. It returns the function that ends the effect, or nil if the end needs no action.
 	begin(f *activeFault) (end func())
 }
 
-// faultTypes holds all fault types.
-var faultTypes = map[names.FaultType]faultType{
+// faultEffects has the effect of each fault type.
+var faultEffects = map[names.FaultType]faultEffect{
 	names.SlowUpstream:        slowUpstreams,
 	names.SlowTier:            slowUpstreams,
 	names.CostlyRequests:      costlyRequests,
@@ -43,43 +43,43 @@
 	names.RestartBalancer:    beginFunc(restartBalancer),
 	names.StallBalancer:      beginFunc(stallBalancer),
 	names.RepeatedStalls:     beginFunc(stallRepeatedly),
-	names.MoveDiscoveryAgent: beginFunc(moveDiscovery),
+	names.MoveDiscoveryAgent: beginFunc(moveDiscoveryAgent),
 	names.ChangeSettings:     beginFunc(changeSettings),
 	names.ReloadUnchanged:    beginFunc(reloadUnchanged),
 	names.ClockStep:          beginFunc(stepClock),
-	names.ShortReadsWrites:   failingCalls{rules: shortReadsAndWrites},
-	names.FailingSystemCalls: failingCalls{rules: exhaustedResources},
+	names.ShortReadsWrites:   systemCallFault{rules: shortReadsAndWrites},
+	names.FailingSystemCalls: systemCallFault{rules: exhaustedResources},
 
 	names.MutedDiscovery:           beginFunc(muteAgent),
-	names.LaggingDiscovery:         agentState{set: raiseAgentLag, reset: resetAgentLag},
-	names.DuplicateUpdates:         agentState{set: sendDuplicates, reset: stopDuplicates},
+	names.LaggingDiscovery:         agentFault{set: raiseAgentLag, reset: resetAgentLag},
+	names.DuplicateUpdates:         agentFault{set: sendDuplicates, reset: stopDuplicates},
 	names.DiscoveryConnectionReset: beginFunc(resetAgent),
 
-	names.LoadSurge:         clientBehavior{normal: 1, value: func(b *fake.ClientBehavior) *float64 { return &b.RateFactor }},
-	names.CancellingClients: clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.CancelFraction }},
-	names.SlowReaders:       clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.SlowReadFraction }},
-	names.SlowWriters:       clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.SlowWriteFraction }},
-	names.PipeliningClients: clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.PipelinedFraction }},
-	names.NewConnections:    clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.NewConnectionFraction }},
-	names.LateFirstRequests: clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.DelayedFraction }},
-	names.MalformedClients:  clientBehavior{value: func(b *fake.ClientBehavior) *float64 { return &b.MalformedRate }},
+	names.LoadSurge:         clientFault{normal: 1, value: func(b *fake.ClientBehavior) *float64 { return &b.RateFactor }},
+	names.CancellingClients: clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.CancelFraction }},
+	names.SlowReaders:       clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.SlowReadFraction }},
+	names.SlowWriters:       clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.SlowWriteFraction }},
+	names.PipeliningClients: clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.PipelinedFraction }},
+	names.NewConnections:    clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.NewConnectionFraction }},
+	names.LateFirstRequests: clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.DelayedFraction }},
+	names.MalformedClients:  clientFault{value: func(b *fake.ClientBehavior) *float64 { return &b.MalformedRate }},
 }
 
-// beginFunc is a fault type given by its begin function.
+// beginFunc is a faultEffect that consists of its begin function.
 type beginFunc func(f *activeFault) (end func())
 
 func (begin beginFunc) begin(f *activeFault) func() { return begin(f) }
 
-// activeFault is one fault of a run.
+// activeFault is one fault of a run, with its times in ms of the run's clock.
 type activeFault struct {
 	*scenario.Fault
 	cluster  *cluster
-	rng      randstream.Stream
+	rng      randstream.Stream // random numbers of this fault only
 	startsAt float64
 	endsAt   float64
 }
 
-// scheduleFault schedules a fault. It ends with the load at the latest.
+// scheduleFault schedules a fault. The fault ends at the end of the load at the latest.
 func (c *cluster) scheduleFault(fault *scenario.Fault) {
 	f := &activeFault{
 		Fault:    fault,
@@ -92,51 +92,54 @@
 	c.environment.schedule(f.startsAt, names.FaultBegin+f.ID, f.begin)
 }
 
+// begin starts the effect of the fault and schedules its end.
 func (f *activeFault) begin() {
-	played, ok := faultTypes[f.Type]
+	effect, ok := faultEffects[f.Type]
 	if !ok {
-		panic(fmt.Sprintf("fault type %s can't be played", f.Type))
+		panic(fmt.Sprintf("fault type %s has no effect function", f.Type))
 	}
-	if end := played.begin(f); end != nil {
+	if end := effect.begin(f); end != nil {
 		f.cluster.environment.schedule(f.endsAt, names.FaultEnd+f.ID, end)
 	}
 }
 
-// duration returns how long the fault lasts.
+// duration returns the duration of the fault in ms.
 func (f *activeFault) duration() float64 { return f.endsAt - f.startsAt }
 
-// after makes a call so many ms from now. The name orders events of the same time.
+// after calls callback after the given number of ms. The name determines the sequence of events of the same time.
 func (f *activeFault) after(ms float64, name string, callback func()) {
 	f.cluster.environment.schedule(f.cluster.now()+ms, name+"/"+f.ID, callback)
 }
 
+// network returns the virtual network. Only fault types that can't be played on loopback sockets use it.
 func (f *activeFault) network() *simnet.Network { return f.cluster.environment.network() }
 
-// virtual returns the virtual environment, for fault types that can't be played on loopback sockets.
+// virtual returns the virtual environment. Only fault types that can't be played on loopback sockets use it.
 func (f *activeFault) virtual() *virtualEnvironment {
 	return f.cluster.environment.(*virtualEnvironment)
 }
 
-// replica returns the upstream that the fault applies to.
+// replica returns the upstream that is the target of the fault.
 func (f *activeFault) replica() *replica {
 	tier, number, err := f.Upstream()
 	if err != nil {
-		panic(err) // scenarios are validated
+		panic(err) // the scenario was validated before the run
 	}
 	return f.cluster.tiers[tier].replicas[number]
 }
 
-// balancer returns the balancer that the fault applies to.
-func (f *activeFault) balancer() *balancer { return f.cluster.balancerOf(f.Target) }
+// balancer returns the balancer that is the target of the fault.
+func (f *activeFault) balancer() *balancer { return f.cluster.findBalancer(f.Target) }
 
-// zones returns the zones that the fault applies to.
+// zones returns the two zones that are the target of the fault.
 func (f *activeFault) zones() (string, string) {
 	a, b, _ := f.Zones()
 	return a, b
 }
 
-// separates reports whether the fault makes a balancer unreachable from a zone, or from any if the zone is "".
-func (f *activeFault) separates(zone string, b *balancer) bool {
+// disconnects reports whether the fault is a partition that makes a balancer unreachable from a zone.
+// If the zone is "", it reports whether the fault is a partition of any zones.
+func (f *activeFault) disconnects(zone string, b *balancer) bool {
 	if f.Type != names.PartitionWithReset && f.Type != names.PartitionWithPause {
 		return false
 	}
--- a/internal/simulation/cluster/replica.go
+++ b/internal/simulation/cluster/replica.go
@@ -8,14 +8,16 @@
 	"salttrack/internal/simulation/names"
 )
 
+// Parameters of all upstreams.
 const (
-	overloadMultiple = 3.0    // of the capacity of a warming upstream, which crashes it
-	overloadDuration = 1500.0 // ms; requests of this period count as the load of a warming upstream
-	serviceTimeCV    = 0.4    // standard deviation over mean of the service times
-	replicasPerCell  = 4
+	overloadMultiple = 3.0    // a warming upstream crashes if its load exceeds this multiple of its current capacity
+	overloadDuration = 1500.0 // period in ms over which the load of a warming upstream is measured
+	serviceTimeCV    = 0.4    // coefficient of variation of the service times: standard deviation divided by mean
+	replicasPerCell  = 4      // replicas with successive numbers that discovery lists in the same cell
 )
 
-// replica is one upstream of a tier, through all its processes.
+// replica is one upstream of a tier.
+// It exists for the whole run, also while no process of it is running; each start creates a new process.
 type replica struct {
 	cluster        *cluster
 	tier           *tier
@@ -24,17 +26,18 @@
 	zone           string
 	machine        string
 	addr           netip.AddrPort
-	id             string // in discovery; another one after a replacement
-	generation     int    // processes so far
-	upstream       *fake.Upstream
-	host           host
-	replicaFaults  fake.UpstreamFaults
-	faults         fake.UpstreamFaults // its own and those of the tier, as the upstream reads them
-	nestedBalancer *balancer           // for its calls to the next tier, nil on the last tier
-	down           bool
+	id             string              // upstream name in discovery; changes when a new upstream replaces the old one
+	generation     int                 // number of processes started so far
+	upstream       *fake.Upstream      // the current or the last process
+	host           host                // host of that process
+	ownFaults      fake.UpstreamFaults // faults whose target is this replica
+	combinedFaults fake.UpstreamFaults // ownFaults combined with the faults of the tier; the upstream reads them
+	nestedBalancer *balancer           // balancer for the calls to the next tier; nil on the last tier
+	down           bool                // no process is running
 }
 
-// newReplica starts a replica, and its balancer for the next tier.
+// newReplica adds a replica to a tier and starts it with full capacity.
+// Unless the tier is the last one, it also adds the balancer through which the replica calls the next tier.
 func (c *cluster) newReplica(t *tier, number int) {
 	s := &c.scenario.Cluster
 	r := &replica{
@@ -62,7 +65,8 @@
 	r.publish(fake.InService, 0)
 }
 
-// publish publishes the replica's phase to discovery.
+// publish sets the replica's endpoint in discovery.
+// The parameter startedAt is the Unix time in ms at which a warming upstream started, and 0 otherwise.
 func (r *replica) publish(phase fake.Phase, startedAt float64) {
 	r.tier.registry.Set(fake.Endpoint{
 		ID:        r.id,
@@ -75,7 +79,7 @@
 	})
 }
 
-// start starts a new process of the replica.
+// start starts a new process of the replica. If warm is true, the upstream has its full capacity at once; otherwise it warms up.
 func (r *replica) start(warm bool) {
 	r.generation++
 	r.host = r.cluster.environment.spawn(fmt.Sprintf(names.UpstreamProcess, r.name, r.generation), r.machine, r.zone)
@@ -88,12 +92,14 @@
 	}
 	upstream, err := fake.NewUpstream(options)
 	if err != nil {
-		panic(err) // the simulator has assigned its address
+		panic(err) // only on loopback sockets, if another run on this machine uses the same address
 	}
 	r.upstream = upstream
 	r.cluster.environment.start(r.host)
 }
 
+// upstreamOptions returns the options of the replica's current process.
+// Replicas with an even number drop queued requests whose deadline has passed; the others serve them.
 func (r *replica) upstreamOptions() fake.UpstreamOptions {
 	c := r.cluster
 	s := &c.scenario.Cluster
@@ -117,7 +123,7 @@
 		},
 		Idempotency: r.tier.idempotency[r.zone],
 		Recorder:    c.checker,
-		Faults:      &r.faults,
+		Faults:      &r.combinedFaults,
 		LoadReports: s.LoadReports,
 		OnCrash:     func() { c.environment.schedule(c.now(), names.UpstreamCrash+r.host.Name(), r.kill) },
 	}
@@ -129,6 +135,7 @@
 	return options
 }
 
+// newNestedCaller returns the client that calls the next tier through the nested balancer.
 func (r *replica) newNestedCaller() *fake.NestedCaller {
 	c := r.cluster
 	return fake.NewNestedCaller(fake.NestedCallerOptions{
@@ -141,7 +148,7 @@
 	})
 }
 
-// kill ends the replica's process, and its balancer's for the next tier.
+// kill kills the replica's process, and the process of its nested balancer, which runs on the same machine.
 func (r *replica) kill() {
 	if r.down {
 		return
@@ -153,7 +160,7 @@
 	}
 }
 
-// restart starts a new process of a replica that is down, and publishes it to discovery.
+// restart starts a new process, which has to warm up, and publishes it to discovery. It does nothing if the replica is not down.
 func (r *replica) restart() {
 	if !r.down {
 		return
@@ -165,18 +172,18 @@
 	r.publish(fake.InService, r.cluster.wallClock())
 }
 
-// replaceProcess starts the process of a new upstream in the replica's place. The old process is not ended.
+// replaceProcess starts a new upstream with a new name in discovery. It does not end the old process.
 func (r *replica) replaceProcess() {
 	r.id = fmt.Sprintf(names.UpstreamGeneration, r.tier.number, r.number, r.generation)
 	r.down = true
 	r.restart()
 }
 
-// combineFaults combines the replica's own faults with those of its tier.
+// combineFaults computes combinedFaults from ownFaults and the faults of the tier.
 func (r *replica) combineFaults() {
-	own := r.replicaFaults
+	own := r.ownFaults
 	tier := r.tier.faults
-	r.faults = fake.UpstreamFaults{
+	r.combinedFaults = fake.UpstreamFaults{
 		Slowdown:          max(1, own.Slowdown) * max(1, tier.Slowdown),
 		Hanging:           own.Hanging,
 		Rejecting:         own.Rejecting,
