--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -24,7 +24,7 @@
 )
 
 // Ids of the timers of an instance.
-// A smaller id is that of a queued request, and its timer is the queue timeout.
+// An id below timerTick is the id of a queued request, and its timer is the queue timeout of that request.
 const (
 	timerTick  TimerID = 1 << 32
 	timerWatch TimerID = 2 << 32
@@ -34,9 +34,10 @@
 // An instance and its host may thus use the same seed.
 const randomStream = 0x5a17
 
-// Balancer is one instance of the load balancer. Each of its components, such as retryBudget,
-// is the state of one mechanism and is defined in the file of that mechanism. Decisions that need several
-// components are methods of Balancer in the file of the mechanism that they belong to.
+// Balancer is one instance of the load balancer.
+// Each of its components, such as retryBudget, is the state of one mechanism and is defined in the file of
+// that mechanism. Decisions that need several components are methods of Balancer in the file of the
+// mechanism that they belong to.
 // A Balancer is not safe for concurrent use.
 type Balancer struct {
 	settings *Config
@@ -163,8 +164,9 @@
 }
 
 // OnBodyComplete handles the last byte of a request that arrived with an incomplete body.
-// The upstream starts to process the request at that byte, so the time of the request
-// and its attempts starts now. The client gives up after expiresIn.
+// The upstream starts to process the request at that byte.
+// The latencies of the request and of its attempts are therefore measured from now on.
+// The client gives up after expiresIn.
 func (b *Balancer) OnBodyComplete(now Millis, id RequestID, expiresIn Millis) {
 	b.advance(now)
 	if r := b.requests.byID[id]; r != nil && r.bodyIncomplete && !r.concluded {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// serveRequest reports a request and the success of its attempt and, after every tenth request, a tick.
+// serveRequest advances the clock by 10 ms, then reports a request and the success of its attempt to an instance.
+// At every tenth request id it also fires the housekeeping timer.
 func serveRequest(b *Balancer, id RequestID, now *Millis) {
 	*now += 10
 	b.OnRequest(*now, &RequestArrived{Request: id, Class: uint8(id % 2), ExpiresIn: 2000})
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -15,14 +15,14 @@
 	inFlight int    // attempts of this instance in flight that count as load
 
 	attemptsSinceTick float64 // attempts sent to it since the last tick
-	slowStartTokens   float64 // number of attempts that may be sent to it while it is warming up
+	slowStartTokens   float64 // at most 1; while it is warming up, an attempt needs one whole token
 
-	consecutiveFailures float64 // sum of the failureWeights of the failures since the last success
+	consecutiveFailures float64 // sum of failureWeights since its last success or ejection; see recordFailure
 	ejectedUntil        Millis  // end of its last ejection
 	ejectionBackoff     Millis  // duration of its last ejection without jitter; 0 after a successful response
 	onProbation         bool    // it was ejected and has not sent a successful response since
 	unresponsive        bool    // it has attempts in flight and sends no responses; see detectUnresponsive
-	lastResponse        Millis  // time of its last response
+	lastResponse        Millis  // time of its last response with the outcome OK or Overloaded
 
 	reportedInFlight float64 // requests in flight at it, from all instances, by its last load report
 	reportedAt       Millis  // time of its last load report; minus infinity if there is none
--- a/balance/events.go
+++ b/balance/events.go
@@ -26,7 +26,7 @@
 	Class          uint8  // index in Config.Classes
 	Tenant         uint16 // index in Config.TenantQuota
 	ExpiresIn      Millis // time until the client gives up
-	BodyIncomplete bool   // the last byte has not arrived yet; the time of the request starts with OnBodyComplete
+	BodyIncomplete bool   // the last byte has not arrived yet; latencies are measured from OnBodyComplete on
 }
 
 // AttemptEnded reports the end of an attempt.
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -18,8 +18,8 @@
 	return b
 }
 
-// rejectedShare returns the fraction of the requests of a class that the throttle rejects.
-func rejectedShare(b *Balancer, class uint8) float64 {
+// rejectedFraction returns the fraction of the requests of a class that the throttle rejects.
+func rejectedFraction(b *Balancer, class uint8) float64 {
 	const n = 4000
 	count := 0.0
 	for range n {
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -58,7 +58,7 @@
 	f := &fakeHost{t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), now: 1e6, nextID: 1,
 		requests: map[RequestID]*hostRequest{}, endpoints: map[UpstreamID]*hostEndpoint{}}
 	f.b = New(cfg, seed, f.now)
-	f.carryOut()
+	f.executeActions()
 	return f
 }
 
@@ -67,8 +67,8 @@
 	f.t.Fatalf("at %.0f: %s", f.now, fmt.Sprintf(format, args...))
 }
 
-// carryOut carries out the actions of the instance.
-func (f *fakeHost) carryOut() {
+// executeActions executes the pending actions of the instance.
+func (f *fakeHost) executeActions() {
 	for action, more := f.b.NextAction(); more; action, more = f.b.NextAction() {
 		f.log = append(f.log, fmt.Sprintf("%.0f %T %v", f.now, action, action))
 		switch a := action.(type) {
@@ -106,7 +106,7 @@
 	f.forwarded++
 	r, u := f.requests[a.Request], f.endpoints[a.Upstream]
 	f.checkForward(a, r, u)
-	f.checkRepeat(r, u)
+	f.checkRetry(r, u)
 	attempt := &hostAttempt{upstream: a.Upstream, sentAt: f.now}
 	limit := r.expiresAt
 	if a.Timeout > 0 {
@@ -137,8 +137,8 @@
 	}
 }
 
-// checkRepeat checks that a request that may have been executed may be sent again to an upstream.
-func (f *fakeHost) checkRepeat(r *hostRequest, u *hostEndpoint) {
+// checkRetry checks that a request that may have been executed may be sent again to an upstream.
+func (f *fakeHost) checkRetry(r *hostRequest, u *hostEndpoint) {
 	first, ran := r.firstMayHaveRun()
 	if !ran {
 		return
@@ -199,31 +199,31 @@
 	f.requests[req.id] = req
 	f.arrivals = append(f.arrivals, req)
 	f.b.OnRequest(f.now, &RequestArrived{Request: req.id, Class: uint8(class), ExpiresIn: expiresIn})
-	f.carryOut()
+	f.executeActions()
 	return req
 }
 
 // sendSnapshot reports the whole endpoint list to the instance.
 func (f *fakeHost) sendSnapshot(endpoints ...Endpoint) {
-	listed := f.noteEndpoints(endpoints)
+	listed := f.recordEndpoints(endpoints)
 	for id, u := range f.endpoints {
 		if !listed[id] {
 			u.unavailableSince = f.now
 		}
 	}
 	f.b.OnEndpointUpdate(f.now, EndpointUpdate{Endpoints: endpoints, Snapshot: true})
-	f.carryOut()
+	f.executeActions()
 }
 
 // sendDelta reports changed endpoints to the instance.
 func (f *fakeHost) sendDelta(endpoints ...Endpoint) {
-	f.noteEndpoints(endpoints)
+	f.recordEndpoints(endpoints)
 	f.b.OnEndpointUpdate(f.now, EndpointUpdate{Endpoints: endpoints})
-	f.carryOut()
+	f.executeActions()
 }
 
-// noteEndpoints records endpoints that the host is about to report, and returns their ids.
-func (f *fakeHost) noteEndpoints(endpoints []Endpoint) map[UpstreamID]bool {
+// recordEndpoints records endpoints that the host is about to report, and returns their ids.
+func (f *fakeHost) recordEndpoints(endpoints []Endpoint) map[UpstreamID]bool {
 	listed := map[UpstreamID]bool{}
 	for _, e := range endpoints {
 		listed[e.ID] = true
@@ -250,7 +250,7 @@
 	}
 	f.b.OnAttemptEnded(f.now, &AttemptEnded{Request: req.id, Attempt: n, Outcome: outcome,
 		Elapsed: f.now - attempt.sentAt, RequestDone: req.responded})
-	f.carryOut()
+	f.executeActions()
 }
 
 // step advances the clock by Granularity, then fires the timers and ends the attempts that are due.
@@ -261,7 +261,7 @@
 	for _, x := range due {
 		if x.at <= f.now {
 			f.b.OnTimer(f.now, x.timer)
-			f.carryOut()
+			f.executeActions()
 		} else {
 			f.timers = append(f.timers, x)
 		}
--- a/balance/limiter.go
+++ b/balance/limiter.go
@@ -11,7 +11,7 @@
 	maxBaselineRatio = 0.4   // upper bound of the baseline: larger latency ratios are caused by queueing
 	baselineRiseGain = 0.004 // fraction of the way to a higher mean that the baseline moves at each outcome
 	ratioGain        = 0.05  // weight of the newest outcome in the mean latency ratios
-	limitGain        = 1.4   // fraction by which a limit changes per round trip at a ratio 1.0 off its target
+	limitGain        = 1.4   // relative change of a limit per round trip if the ratio is 1.0 off targetRatio
 	minUtilization   = 0.8   // a limit rises only while at least this fraction of it is in use
 	initialLimit     = 6.0   // limit at the start: attempts in flight per upstream, over all replicas
 	minLimit         = 0.5   // lower bound of a limit: attempts in flight per upstream, over all replicas
--- a/balance/limiter_test.go
+++ b/balance/limiter_test.go
@@ -43,7 +43,7 @@
 	for _, tt := range []struct {
 		name         string
 		latencyRatio float64 // latency of a successful response as a fraction of the objective
-		wantLow      bool    // the limit falls below one attempt per upstream
+		wantLow      bool    // whether the limit has to fall below one attempt per upstream
 	}{{"fast responses", 0.15, false}, {"slow responses", 0.8, true}} {
 		cfg := testConfig()
 		cfg.Replicas = 2
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -7,18 +7,18 @@
 const (
 	loadPerFailure                = 2     // attempts in flight that each failure in a row counts as
 	failuresToEject               = 3     // failures in a row that eject, as a sum of failureWeights
-	connectFailuresToEject        = 2     // failures in a row that eject if the last is a ConnectFailed
+	connectFailuresToEject        = 2     // sum of failureWeights that ejects after a ConnectFailed
 	minEjection            Millis = 2000  // duration of the first ejection; doubles with each one in a row
 	maxEjection            Millis = 16000 // upper bound of the duration of an ejection, without jitter
 	minEjectionJitter             = 0.75  // random factor of an ejection's duration: from this to 1.25
-	maxEjectedFraction            = 0.5   // of the available upstreams; if more fail, the cause is elsewhere
+	maxEjectedFraction            = 0.5   // largest fraction of the available upstreams that is ejected
 
 	unresponsiveMultiple          = 4.0 // an upstream may take this many mean service times to respond
 	minUnresponsiveTimeout Millis = 300 // lower bound of unresponsiveTimeout
 )
 
 // failureWeights holds the weight of each kind of failure.
-// It is lower for a kind that upstreams in good health cause more often by chance.
+// The weight is lower for a kind of failure that is more common at healthy upstreams.
 var failureWeights = [...]float64{UpstreamError: 1, TimedOut: 1, ConnectFailed: 1, ConnectionReset: 0.625}
 
 // outlierDetection is the state of outlier detection that concerns all upstreams together.
@@ -97,6 +97,7 @@
 }
 
 // mayEject reports whether one more upstream may be ejected.
+// If more than maxEjectedFraction of the available upstreams fail, they are probably not the cause.
 func (b *Balancer) mayEject() bool {
 	available := 0
 	ejected := 0
@@ -132,7 +133,7 @@
 }
 
 // unresponsiveTimeout returns how long an upstream may take to respond before it counts as unresponsive.
-// The timeout is infinite if no upstream has responded recently,
+// The timeout is infinite if the last successful response of any upstream is older than half of it,
 // because then the cause is not a single upstream.
 func (b *Balancer) unresponsiveTimeout() Millis {
 	timeout := max(minUnresponsiveTimeout, unresponsiveMultiple*b.serviceTimes.all.value)
@@ -143,7 +144,7 @@
 }
 
 // checkResponsive marks the upstream of an attempt as unresponsive if the attempt has been in flight
-// for longer than the timeout and the upstream has sent no response to any request since.
+// for at least the timeout and the upstream has not responded to any attempt since it was sent.
 // If the attempt is the only one in flight at its upstream, twice the timeout applies.
 func (b *Balancer) checkResponsive(a *attempt, timeout Millis) {
 	u := a.upstream
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -76,8 +76,7 @@
 	u.inFlight--
 }
 
-// TestErrorsOfLaterTiersDoNotEject checks that an error from a later tier does
-// not count against the upstream.
+// TestErrorsOfLaterTiersDoNotEject checks that an error from a later tier does not count against the upstream.
 func TestErrorsOfLaterTiersDoNotEject(t *testing.T) {
 	cfg := testConfig()
 	cfg.TierCount = 2
--- a/balance/queue.go
+++ b/balance/queue.go
@@ -49,8 +49,8 @@
 // queueTimeout returns how long a request may wait from now on, so that it can still be served in time.
 func (b *Balancer) queueTimeout(r *request) Millis {
 	longest := r.classRules().LatencyObjective * maxQueueFraction
-	untilUseless := r.usefulUntil - b.serviceTimes.byClass[r.class].value/2 - b.now
-	return max(0, min(longest, (r.expiresAt-b.now)/2, untilUseless))
+	untilTooLate := r.usefulUntil - b.serviceTimes.byClass[r.class].value/2 - b.now
+	return max(0, min(longest, (r.expiresAt-b.now)/2, untilTooLate))
 }
 
 // admitQueued forwards queued requests while there is capacity.
--- a/balance/request.go
+++ b/balance/request.go
@@ -105,9 +105,11 @@
 }
 
 // usefulDeadline returns the time after which a response to the request earns nothing.
-// This is when the client gives up or, if a late response earns nothing,
-// two granularities before the end of the latency objective. The objective is not used at inner tiers,
-// which do not know it, nor for streamed responses and incomplete bodies.
+// This is the time at which the client gives up.
+// If a late response earns nothing, it is no later than two granularities before the end of the latency
+// objective, counted from the arrival.
+// The objective is not used at inner tiers, which do not know it, nor for streamed responses and
+// incomplete bodies.
 func (b *Balancer) usefulDeadline(r *request) Millis {
 	c := r.classRules()
 	if b.settings.Tier > 0 || c.LateWeight > 0 || c.Streaming || r.bodyIncomplete {
@@ -178,7 +180,9 @@
 	}
 }
 
-// completeBody starts the time of a request and of its attempts when the last byte of its body has arrived.
+// completeBody handles the arrival of the last byte of a request body.
+// The latencies of the request and of its attempts in flight are measured from now on.
+// The attempts count as load and get new timeouts.
 func (b *Balancer) completeBody(r *request, expiresIn Millis) {
 	r.bodyIncomplete = false
 	r.arrivedAt = b.now
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -58,7 +58,7 @@
 	r.responded = true
 	if f.requests[r.id] == r {
 		f.b.OnRequestConcluded(f.now, r.id)
-		f.carryOut()
+		f.executeActions()
 	}
 }
 
@@ -66,13 +66,13 @@
 // The instance has to ignore them.
 func (f *fakeHost) sendUnknownEvents() {
 	f.b.OnAttemptEnded(f.now, &AttemptEnded{Request: f.nextID + 1000, Outcome: OK, RequestDone: true})
-	f.carryOut()
+	f.executeActions()
 	f.b.OnRequestConcluded(f.now, f.nextID+1000)
-	f.carryOut()
+	f.executeActions()
 	f.b.OnTimer(f.now, 12345678)
-	f.carryOut()
+	f.executeActions()
 	f.b.OnEndpointUpdate(f.now, EndpointUpdate{Endpoints: []Endpoint{{ID: 99999, State: Removed}}})
-	f.carryOut()
+	f.executeActions()
 }
 
 func TestRulesOnRandomEvents(t *testing.T) {
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -80,7 +80,7 @@
 func (b *Balancer) collectCandidates(r *request, zone int, from []*upstream, eligible upstreamFilter) {
 	found := b.candidates[:0]
 	for _, u := range from {
-		if b.zoneClassOf(u) != zone || !eligible(b, u) {
+		if b.zoneClassIndex(u) != zone || !eligible(b, u) {
 			continue
 		}
 		if !r.triedAt(u) && b.mayRetryAt(r, u) && b.slowStartAllows(u) {
--- a/balance/selection_test.go
+++ b/balance/selection_test.go
@@ -167,10 +167,10 @@
 // and old reports are ignored.
 func TestLoadReportsDecideBetweenEqualLoads(t *testing.T) {
 	for _, tt := range []struct {
-		name       string
-		inFlight   int     // attempts in flight at the upstream with the lower report
-		age        Millis  // age of the load reports
-		least, top float64 // bounds of the fraction of selections that return it
+		name        string
+		inFlight    int     // attempts in flight at the upstream with the lower report
+		age         Millis  // age of the load reports
+		least, most float64 // bounds of the fraction of selections that return it
 	}{
 		{"equal loads, new reports", 0, 0, 1, 1}, {"own attempt in flight", 1, 0, 0, 0}, {"old reports", 0, loadReportLifetime, 0.4, 0.6},
 	} {
@@ -187,8 +187,8 @@
 					got++
 				}
 			}
-			if got/n < tt.least || got/n > tt.top {
-				t.Errorf("selected %.0f times of %d, want a fraction from %.1f to %.1f", got, n, tt.least, tt.top)
+			if got/n < tt.least || got/n > tt.most {
+				t.Errorf("selected %.0f times of %d, want a fraction from %.1f to %.1f", got, n, tt.least, tt.most)
 			}
 		})
 	}
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -3,8 +3,8 @@
 // Slow start: the limit on attempts to an upstream that has just started.
 
 const (
-	// warmRateTimeConstant is the time constant, in ms, of a falling warm rate.
-	// The rate of the first measurements is an arithmetic mean over this time.
+	// warmRateTimeConstant is the time constant, in ms, with which warmRate follows a falling rate.
+	// Until measurements have been made for this time, warmRate is their arithmetic mean.
 	warmRateTimeConstant = 2000.0
 	minWarmFraction      = 0.01 // lower bound of the warm fraction of an upstream
 )
@@ -50,8 +50,8 @@
 	return u.slowStartTokens >= 1 || b.warmFraction(u) == 1
 }
 
-// refillSlowStart refills the slow start token of each upstream, which is at most one.
-// The rate is the warm fraction of the rate of attempts at warm upstreams.
+// refillSlowStart adds to the slow start tokens of each upstream, up to one token.
+// Their rate is the warm fraction of the rate of this instance's attempts at a warm upstream.
 // That rate counts as at least one attempt per OverloadDuration over all replicas, even if none was measured.
 func (b *Balancer) refillSlowStart(elapsed Millis) {
 	b.measureWarmRate(elapsed)
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -253,7 +253,8 @@
 	}
 }
 
-// check plays OverloadDuration and checks that no warming upstream gets more attempts than it may.
+// check plays traffic for OverloadDuration and checks that no warming upstream gets more attempts than it may.
+// The parameter each is the rate at which one warm upstream gets attempts, in attempts per ms.
 func (f *fleet) check(t *testing.T, warming []Endpoint, rate float64, burst int, each float64) {
 	t.Helper()
 	age := f.instances[0].now - warming[0].StartedAt
--- a/balance/streaming_test.go
+++ b/balance/streaming_test.go
@@ -10,7 +10,7 @@
 	f.now += 100
 	req.responded = true
 	f.b.OnResponseStarted(f.now, &ResponseStarted{Request: req.id, Elapsed: 100})
-	f.carryOut()
+	f.executeActions()
 	req.attempts[0].endsAt = f.now + 60000
 	for range 1000 {
 		f.step()
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -19,9 +19,9 @@
 
 // selectSubsets selects a subset of each zone class.
 // It has as many usable upstreams as this instance recently had attempts in flight at once.
-// All instances select from the same ring of upstreams, each from its own start.
-// From one instance to the next the start moves on by the golden ratio of the ring,
-// which spreads the starts of any number of instances evenly.
+// All instances select from the same ring of upstreams, each from a start of its own.
+// The start of an instance, as a fraction of the ring, is its index times the golden ratio modulo 1.
+// This spreads the starts of any number of instances evenly.
 func (b *Balancer) selectSubsets() {
 	b.subset.peakInFlight = max(b.subset.peakInFlight*peakDecay, float64(b.inFlight()))
 	target := max(minSubset, b.subset.peakInFlight)
@@ -41,7 +41,7 @@
 	}
 	for _, u := range b.endpoints.ordered {
 		if u.State != Removed {
-			zone := b.zoneClassOf(u)
+			zone := b.zoneClassIndex(u)
 			rings[zone] = append(rings[zone], u)
 		}
 	}
--- a/balance/tenants.go
+++ b/balance/tenants.go
@@ -34,8 +34,8 @@
 	return 1
 }
 
-// refillTenantTokens refills each token bucket to at most the tokens of one second,
-// or one token if that is more.
+// refillTenantTokens adds the tokens for the elapsed time to each token bucket.
+// A bucket holds at most the tokens of one second, or one token if that is more.
 func (b *Balancer) refillTenantTokens(elapsed Millis) {
 	for tenant, tokens := range b.tenants.tokens {
 		perSecond := b.settings.TenantQuota[tenant] / b.replicas()
--- a/balance/throttle.go
+++ b/balance/throttle.go
@@ -14,8 +14,8 @@
 )
 
 // throttled reports whether to reject a new request.
-// The formula gives the total number of requests to reject.
-// The probability of a rejection is proportional to 1 / (weight * weight), so low weights are rejected first.
+// The formula determines how many requests of all classes together are rejected.
+// Their probabilities are proportional to 1 / (weight * weight), so that low weights are rejected first.
 func (b *Balancer) throttled(r *request) bool {
 	if b.window.total.requests < minRequests || b.underutilized() {
 		return false
@@ -28,7 +28,7 @@
 	return b.rng.Float64()*weight*weight < b.rejectionFactor(volume)
 }
 
-// rejectionVolume returns how many of the requests in a window have to be rejected.
+// rejectionVolume returns how many of the requests in the accept window the formula rejects.
 func (b *Balancer) rejectionVolume() float64 {
 	multiplier := firstTierMultiplier
 	if b.settings.Tier > 0 {
--- a/balance/throttle_test.go
+++ b/balance/throttle_test.go
@@ -25,7 +25,7 @@
 			cfg := twoClasses(1, 1)
 			cfg.Tier = tt.tier
 			b := newThrottled(cfg, []float64{tt.requests}, []float64{tt.accepts})
-			if got := rejectedShare(b, 0); math.Abs(got-tt.want) > 0.03 {
+			if got := rejectedFraction(b, 0); math.Abs(got-tt.want) > 0.03 {
 				t.Errorf("rejects %.3f of the requests, want %.3f", got, tt.want)
 			}
 		})
@@ -47,7 +47,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newThrottled(twoClasses(tt.low, tt.high), []float64{200, 200}, []float64{tt.accepts, tt.accepts})
-			low, high := rejectedShare(b, 0), rejectedShare(b, 1)
+			low, high := rejectedFraction(b, 0), rejectedFraction(b, 1)
 			if low < tt.wantLow[0] || low > tt.wantLow[1] || high < tt.wantHigh[0] || high > tt.wantHigh[1] {
 				t.Errorf("rejects %.3f of low weight, %.3f of high weight; want %v and %v",
 					low, high, tt.wantLow, tt.wantHigh)
@@ -64,7 +64,7 @@
 		cfg.Tier = tier
 		b := newThrottled(cfg, []float64{300}, []float64{0})
 		b.zones[0].inFlight = 0
-		if got := rejectedShare(b, 0); got != 0 {
+		if got := rejectedFraction(b, 0); got != 0 {
 			t.Errorf("tier %d: rejects %.2f of the requests with none in flight, want 0", tier, got)
 		}
 	}
@@ -149,7 +149,7 @@
 			b.window.count(0, 0)
 		}
 		if n := b.window.total.requests; n < minRequests || n > max(1.5*minRequests, 4*perSecond) {
-			t.Errorf("%.0f requests per second: the window holds %.0f", perSecond, n)
+			t.Errorf("%.0f requests per second: the window holds %.0f requests, want %d to %.0f", perSecond, n, minRequests, max(1.5*minRequests, 4*perSecond))
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	}
 	for _, tt := range tests {
 		b := newThrottled(twoClasses(1, 12), []float64{200, 100}, tt.accepts)
-		if low, high := rejectedShare(b, 0), rejectedShare(b, 1); low > tt.low || high > tt.high {
+		if low, high := rejectedFraction(b, 0), rejectedFraction(b, 1); low > tt.low || high > tt.high {
 			t.Errorf("%s: rejects %.2f of low weight and %.2f of high weight, want at most %.2f and %.2f", tt.name, low, high, tt.low, tt.high)
 		}
 	}
--- a/balance/window.go
+++ b/balance/window.go
@@ -3,7 +3,7 @@
 // Accept window: the sliding window of finished requests that the throttle and the retry budget are based on.
 
 const (
-	bucketCount              = 6 // gives a window of 3 s, or of up to 30 s with little traffic
+	bucketCount              = 6 // buckets of a window, which gives 3 s, or up to 30 s with little traffic
 	bucketDuration    Millis = 500
 	maxBucketDuration Millis = 5000 // longest time that a bucket stays open if requests are too few
 	minRequests              = 20   // finished requests needed for a meaningful ratio of accepts
--- a/balance/zone.go
+++ b/balance/zone.go
@@ -1,6 +1,7 @@
 package balance
 
-// Zone classes: the zone of this instance is the local one, and all other zones are remote.
+// Zone classes: upstreams are in the local zone, which is that of this instance, or in a remote zone.
+// All remote zones together are one zone class.
 
 const (
 	localZone   = 0
@@ -15,7 +16,7 @@
 
 // zoneClass is the state of the upstreams of one zone class.
 type zoneClass struct {
-	slowdown         mean        // service time as a multiple of the mean for the class of requests
+	slowdown         mean        // service time divided by the mean service time of the class of requests
 	successRate      mean        // fraction of the attempts that were served
 	inFlight         int         // attempts of this instance in flight
 	inFlightByClass  []int       // attempts of this instance in flight, indexed by class of requests
@@ -40,15 +41,16 @@
 
 func (z *zoneClass) recordNotServed() { z.successRate.add(0, zoneOutcomeGain) }
 
-// zoneClassOf returns the index of the zone class of an upstream.
-func (b *Balancer) zoneClassOf(u *upstream) int {
+// zoneClassIndex returns the index of the zone class of an upstream.
+func (b *Balancer) zoneClassIndex(u *upstream) int {
 	if u.Zone == b.settings.Zone {
 		return localZone
 	}
 	return remoteZones
 }
 
-func (b *Balancer) zoneOf(u *upstream) *zoneClass { return &b.zones[b.zoneClassOf(u)] }
+// zoneOf returns the zone class of an upstream.
+func (b *Balancer) zoneOf(u *upstream) *zoneClass { return &b.zones[b.zoneClassIndex(u)] }
 
 // inFlight returns the number of attempts in flight.
 func (b *Balancer) inFlight() int { return b.zones[localZone].inFlight + b.zones[remoteZones].inFlight }
--- a/internal/bodystream/pool_test.go
+++ b/internal/bodystream/pool_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// checkOfferedBufferPassedOn checks that the pool's only buffer
-// is offered to the next waiting stream when the stream to which it was offered first is abandoned before it takes the buffer.
+// checkOfferedBufferPassedOn checks that a buffer which was offered to a waiting stream is offered to the next one
+// if the first stream is abandoned before it takes the buffer. The pool p has only one buffer.
 func checkOfferedBufferPassedOn(t *testing.T, name string, p *BufferPool) {
 	t.Helper()
 	holder := New(p, -1)
--- a/internal/bodystream/stream.go
+++ b/internal/bodystream/stream.go
@@ -38,8 +38,8 @@
 // Prepend sets the part of the body that was received before the stream was created. The stream takes ownership of p.
 func (s *Stream) Prepend(p []byte) { s.prepended = p }
 
-// OnWritable sets the function that is called when Available may
-// return more than before, or when the reader has abandoned the stream.
+// OnWritable sets the function that is called when Available may return more than before,
+// or when the reader has abandoned the stream.
 func (s *Stream) OnWritable(notify func()) { s.onWritable = notify }
 
 // OnReadable sets the function that is called when there are bytes to read or the writer has ended the stream.
--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -74,8 +74,8 @@
 	})
 }
 
-// promoteFromOverflow turns an overflow connection into a regular
-// one if the descriptor quota allows it, and reports whether it has done so.
+// promoteFromOverflow turns an overflow connection into a regular one if the descriptor quota allows it.
+// It reports whether it has done so.
 func (c *conn) promoteFromOverflow() bool {
 	if !c.server.quota.Acquire() {
 		return false
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -81,9 +81,10 @@
 	}
 }
 
-// Connected reports whether the client still waits for its response. It asks the kernel, since the event for
-// the client's close may not have been handled yet: events of other connections may be handled first in the same turn of the loop.
-// While a request body is being received, Connected does not ask the kernel, since reading detects the close.
+// Connected reports whether the client still waits for its response.
+// It asks the kernel, since the client's close may have arrived without its event having been handled:
+// requests that were read earlier, or in the same turn of the event loop, are handled first.
+// While a streamed request body is being received, Connected does not ask the kernel, since reading detects the close.
 func (c *conn) Connected(*exchange.Exchange) bool {
 	if !c.requestStream.active() && c.server.Loop.PeerClosed(c.fd) {
 		c.server.counters.disconnectedBeforeAttempt.Inc()
@@ -102,7 +103,8 @@
 	c.server.handler.ClientDisconnected(x)
 }
 
-// startTimer sets the connection's timer, which calls a function after a duration in milliseconds. It replaces the previous timer.
+// startTimer sets the connection's timer, which calls the function do after the given duration in milliseconds.
+// It replaces the previous timer.
 func (c *conn) startTimer(after balance.Millis, do func()) {
 	c.stopTimer()
 	c.timer = c.server.Loop.After(after, do)
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -56,6 +56,7 @@
 		}
 	})
 	if disconnected := <-s.disconnected; disconnected != x || len(s.exchanges) != 0 || s.CounterValue("client_connections_open") != 0 {
-		t.Errorf("disconnect of %v reported, %d more exchanges, %d open connections", disconnected, len(s.exchanges), s.CounterValue("client_connections_open"))
+		t.Errorf("disconnect of %v reported, %d more exchanges, %d open connections; want that of %v, 0 and 0",
+			disconnected, len(s.exchanges), s.CounterValue("client_connections_open"), x)
 	}
 }
--- a/internal/downstream/dispatch.go
+++ b/internal/downstream/dispatch.go
@@ -66,8 +66,8 @@
 	s.handler.HandleRequest(x)
 }
 
-// startDeadline sets the deadlines of a request. They count from the arrival of its last byte,
-// so that the time in which the client sends the request does not reduce the remaining time.
+// startDeadline sets the deadlines of a request. They count from the arrival of its last byte:
+// the time that the client takes to send the request does not reduce them.
 func (c *conn) startDeadline(x *exchange.Exchange, r *http1.Request) {
 	remaining := r.RemainingSeconds * 1000
 	x.ClientDeadline = c.reader.receivedAt + remaining
--- a/internal/downstream/faults_test.go
+++ b/internal/downstream/faults_test.go
@@ -29,7 +29,7 @@
 			c.send(getRequest(txn))
 			s.serve(s.nextExchange(), "body-"+txn)
 			if _, got := c.response(); got != "body-"+txn {
-				t.Errorf("%s: response %q", name, got)
+				t.Errorf("%s: response %q, want %q", name, got, "body-"+txn)
 			}
 		}
 		c.send("POST /pay HTTP/1.1\r\nX-Txn: 3\r\nX-Lane: pay\r\nX-Remaining: 1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
@@ -37,7 +37,7 @@
 		c.send("abc")
 		s.serve(s.nextExchange(), "three")
 		if got := finalResponse(t, c); got != "three" {
-			t.Errorf("%s: response %q", name, got)
+			t.Errorf("%s: response %q, want %q", name, got, "three")
 		}
 	}
 }
--- a/internal/downstream/golden_test.go
+++ b/internal/downstream/golden_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Streamed responses must consist of exactly the expected bytes: with Content-Length,
-// with chunked transfer coding, and to an HTTP/1.0 client, for which a body of unknown length ends with the connection.
+// Streamed responses must consist of exactly the expected bytes, with Content-Length and with chunked transfer coding.
+// To an HTTP/1.0 client a body of unknown length ends with the connection.
 func TestStreamedResponseBytes(t *testing.T) {
 	first, rest := strings.Repeat("a", 70000), strings.Repeat("b", 1000)
 	http10 := strings.Replace(getRequest("1"), "HTTP/1.1", "HTTP/1.0", 1)
--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -7,9 +7,10 @@
 func (s *Server) shedIdle() bool { return s.shedLeastRecentlyActive(minInactivity) }
 
 // shedLeastRecentlyActive closes the least recently active connection that may be closed, and reports whether it has closed one.
-// An idle connection may be closed after minIdle: clients have to expect a close at any time,
-// but soon after a response the next request is likely to be in transit. On a new connection the first request is even more likely
-// to be in transit, and after a partial request the rest certainly is, so these connections may be closed only after a longer time.
+// An idle connection may be closed after minIdle.
+// Clients have to expect a close at any time, but soon after a response the next request is likely to be in transit.
+// On a new connection the first request is even more likely to be in transit, and after a partial request so is its rest.
+// These connections may therefore be closed only after a longer time.
 func (s *Server) shedLeastRecentlyActive(minIdle balance.Millis) bool {
 	now := s.Loop.Now()
 	for e := s.readingConns.Front(); e != nil; e = e.Next() {
--- a/internal/downstream/limits.go
+++ b/internal/downstream/limits.go
@@ -33,8 +33,8 @@
 
 // Deadlines of requests.
 const (
-	// incompleteRequestDeadline is the deadline in milliseconds of a request with
-	// a streamed body until the last byte of the body has arrived. From then on the deadline that the client has given applies.
+	// incompleteRequestDeadline is the deadline of a request with a streamed body, in milliseconds from the start of its exchange.
+	// When the last byte of the body has arrived, the deadline that the client has given replaces it.
 	incompleteRequestDeadline balance.Millis = 3600e3
 
 	// responseMarginDivisor limits the response margin to a tenth of the remaining time that the client has given.
@@ -44,14 +44,14 @@
 // Limits on reading, so that one client does not delay the others.
 const (
 	readBufferBytes         = 16 << 10 // size of the read buffer in bytes
-	maxReadsPerTurn         = 16       // reads from one connection in one turn of the event loop
+	maxReadsPerTurn         = 16       // maximum number of reads from one connection in one turn of the event loop
 	minBodyBytesPerInterval = 16 << 10 // bytes of a body that a client has to send in each bodyProgressInterval
 )
 
 // Limits on accepting connections.
 const (
-	maxAcceptsPerTurn    = 256     // connections that are accepted in one turn of the event loop
-	maxAcceptsAtShutdown = 1 << 20 // connections that are accepted when the listener closes; more than its queue can hold
+	maxAcceptsPerTurn    = 256     // maximum number of connections that are accepted in one turn of the event loop
+	maxAcceptsAtShutdown = 1 << 20 // maximum number accepted before the listener closes; more than its queue can hold
 
 	// acceptRetryInterval is the pause in milliseconds after accepting has failed for lack of descriptors or kernel memory.
 	acceptRetryInterval balance.Millis = 5
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -43,13 +43,13 @@
 		})
 		s.serve(s.nextExchange(), "one")
 		if _, got := c.response(); got != "one" {
-			t.Errorf("%v: response %q", err, got)
+			t.Errorf("%v: response %q, want %q", err, got, "one")
 		}
 	}
 }
 
-// suspendedAccept simulates that the process is suspended right
-// after Accept has found the listener's queue empty for the first time. A client connects during the suspension.
+// suspendedAccept simulates that the process is suspended right after Accept has found the listener's queue empty
+// for the first time. A client tries to connect during the suspension.
 type suspendedAccept struct {
 	loop.Sockets
 	addr      string
@@ -101,7 +101,7 @@
 		s.serve(s.nextExchange(), "one")
 		got := &client{c.(*net.TCPConn), bufio.NewReader(c), t}
 		if _, body := got.response(); body != "one" {
-			t.Errorf("response %q", body)
+			t.Errorf("response %q, want %q", body, "one")
 		}
 	case <-time.After(epolltest.Timeout):
 		t.Fatal("the client neither connected nor failed to connect")
--- a/internal/downstream/overflow_test.go
+++ b/internal/downstream/overflow_test.go
@@ -18,13 +18,13 @@
 	seventh := s.connect()
 	seventh.send(getRequest("7"))
 	if resp, _ := seventh.response(); resp.StatusCode != 503 || !resp.Close {
-		t.Errorf("overflow connection: status %d, closes %v", resp.StatusCode, resp.Close)
+		t.Errorf("overflow connection: status %d, closes %v, want 503 and a close", resp.StatusCode, resp.Close)
 	}
 	for _, c := range all[:1] { // no connection was shed for the seventh
 		c.send(getRequest("1"))
 		s.serve(s.nextExchange(), "ok")
 		if resp, got := c.response(); got != "ok" || !resp.Close {
-			t.Errorf("response %q, closes %v", got, resp.Close)
+			t.Errorf("response %q, closes %v, want %q and a close", got, resp.Close, "ok")
 		}
 		c.expectEOF()
 		c.Close()
@@ -108,7 +108,7 @@
 	c.send(getRequest("1"))
 	s.serve(s.nextExchange(), "ok")
 	if _, got := c.response(); got != "ok" {
-		t.Errorf("response %q", got)
+		t.Errorf("response %q, want %q", got, "ok")
 	}
 	c.Close()
 	s.WaitForCounter("client_connections_open", 2)
@@ -138,7 +138,7 @@
 	})
 	c.send(getRequest("1")[40:])
 	if resp, _ := c.response(); resp.StatusCode != 503 {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("status %d, want 503", resp.StatusCode)
 	}
 }
 
@@ -153,7 +153,7 @@
 	c.send(getRequest("4") + getRequest("5") + getRequest("6"))
 	for n := range 3 {
 		if resp, _ := c.response(); resp.StatusCode != 503 || resp.Close != (n == 2) {
-			t.Errorf("response %d: status %d, closes %v", n, resp.StatusCode, resp.Close)
+			t.Errorf("response %d: status %d, closes %v, want 503 and a close only at response 2", n, resp.StatusCode, resp.Close)
 		}
 	}
 	c.expectEOF()
--- a/internal/downstream/reader.go
+++ b/internal/downstream/reader.go
@@ -17,7 +17,7 @@
 	conn         *conn
 	decoder      *http1.RequestDecoder
 	listElement  *list.Element  // element of the server's readingConns; nil in all other states
-	lastActivity balance.Millis // time at which the last byte was received or the connection became idle
+	lastActivity balance.Millis // time at which bytes were last received or the connection became idle
 	receivedAt   balance.Millis // earliest time at which the bytes that are being decoded may have arrived
 	requestCount int            // number of requests that have been dispatched
 	unread       []byte         // bytes that were received after the last request and have not been decoded yet
@@ -139,7 +139,8 @@
 	return n, true
 }
 
-// handleIncomplete updates timeouts and the progress of the body after n bytes of an incomplete request have been decoded.
+// handleIncomplete is called after n bytes have been decoded and the request is still incomplete.
+// It sends 100 Continue if the client waits for it, and updates the progress of the body and the timeout.
 func (r *requestReader) handleIncomplete(n int) {
 	c := r.conn
 	r.sendContinue()
--- a/internal/downstream/reader_test.go
+++ b/internal/downstream/reader_test.go
@@ -31,7 +31,7 @@
 		}
 		x := s.nextExchange()
 		if m := x.Message.(*http1.Request); x.Class != 2 || !m.Retried {
-			t.Errorf("class %d, retried %v", x.Class, m.Retried)
+			t.Errorf("class %d, retried %v, want class 2 and a retried request", x.Class, m.Retried)
 		}
 		s.Do(func() {
 			if remaining := x.RespondBy - s.Loop.Now(); remaining > 470 {
@@ -40,7 +40,7 @@
 		})
 		s.serve(x, body)
 		if resp, got := c.response(); resp.StatusCode != 200 || got != body {
-			t.Errorf("status %d, %d bytes", resp.StatusCode, len(got))
+			t.Errorf("status %d with a body of %d bytes, want 200 with the %d bytes of the request", resp.StatusCode, len(got), len(body))
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	c.send("ab")
 	s.serve(s.nextExchange(), "done")
 	if _, got := c.response(); got != "done" {
-		t.Errorf("response %q", got)
+		t.Errorf("response %q, want %q", got, "done")
 	}
 }
 
@@ -137,7 +137,7 @@
 		s.AdvanceTimers(requestTimeout + 1)
 		if tt.status > 0 {
 			if resp, _ := c.response(); resp.StatusCode != tt.status {
-				t.Errorf("%s: status %d", tt.name, resp.StatusCode)
+				t.Errorf("%s: status %d, want %d", tt.name, resp.StatusCode, tt.status)
 			}
 		}
 		c.expectEOF()
@@ -159,12 +159,12 @@
 	c.send(strings.Repeat(strings.ReplaceAll(getRequest("1"), "read", "none"), many) + getRequest("2"))
 	for range many {
 		if resp, _ := c.response(); resp.StatusCode != 400 {
-			t.Fatalf("status %d", resp.StatusCode)
+			t.Fatalf("status %d, want 400", resp.StatusCode)
 		}
 	}
 	s.serve(s.nextExchange(), "ok")
 	if _, got := c.response(); got != "ok" {
-		t.Errorf("response %q", got)
+		t.Errorf("response %q, want %q", got, "ok")
 	}
 	if n := <-depth; n > 40 {
 		t.Errorf("the call stack was %d frames deep at the last request, want at most 40", n)
--- a/internal/downstream/response_test.go
+++ b/internal/downstream/response_test.go
@@ -31,7 +31,7 @@
 			}
 		})
 		if resp, _ := c.response(); resp.StatusCode != tt.status || resp.Header.Get("Retry-After") != tt.retryAfter {
-			t.Errorf("%+v: status %d, Retry-After %q", tt.response, resp.StatusCode, resp.Header.Get("Retry-After"))
+			t.Errorf("%+v: status %d, Retry-After %q, want %d and %q", tt.response, resp.StatusCode, resp.Header.Get("Retry-After"), tt.status, tt.retryAfter)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	c.send("POST /pay HTTP/1.1\r\nX-Txn: 1\r\nX-Lane: pay\r\nX-Remaining: 1\r\nContent-Length: 99999999\r\n\r\n" +
 		strings.Repeat("x", 300000))
 	if resp, _ := c.response(); resp.StatusCode != 413 {
-		t.Errorf("status %d", resp.StatusCode)
+		t.Errorf("status %d, want 413", resp.StatusCode)
 	}
 	c.expectEOF()
 }
@@ -84,7 +84,7 @@
 		c.send(in)
 		s.serve(s.nextExchange(), "ok")
 		if _, got := c.response(); got != "ok" {
-			t.Errorf("response %q", got)
+			t.Errorf("response %q, want %q", got, "ok")
 		}
 		c.expectEOF()
 	}
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -1,5 +1,6 @@
-// Package downstream is the server that clients connect to. It accepts connections,
-// receives requests, passes them as exchanges to a RequestHandler, and sends the responses. All its code runs on one event loop.
+// Package downstream is the server that clients connect to.
+// It accepts connections, receives requests, passes them as exchanges to a RequestHandler, and sends the responses.
+// All its code runs on one event loop.
 //
 // The number of regular connections is limited by a quota of the descriptors of the process.
 // When the quota is exhausted, a limited number of further connections is accepted as overflow connections.
@@ -51,7 +52,7 @@
 	Classes         map[string]uint8      // class numbers by the class names that are valid in requests
 	Idempotency     []balance.Idempotency // indexed by class number
 	LongestDeadline balance.Millis        // longest deadline of all classes in Classes
-	ResponseMargin  balance.Millis        // time between RespondBy and ClientDeadline of an exchange
+	ResponseMargin  balance.Millis        // time from RespondBy to ClientDeadline of an exchange; less for a short remaining time
 }
 
 // Server accepts client connections and serves their requests.
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -11,8 +11,8 @@
 // shuttingDown reports whether a shutdown has begun.
 func (s *Server) shuttingDown() bool { return s.drain.schedule.Started() }
 
-// rejectsNewRequests reports whether a request that becomes complete now has to be rejected,
-// since the shutdown leaves too little time for its response.
+// rejectsNewRequests reports whether a request that becomes complete now has to be rejected.
+// That is so when a shutdown leaves too little time for its response.
 func (s *Server) rejectsNewRequests() bool { return s.drain.schedule.RejectsAt(s.Loop.Now()) }
 
 // Shutdown starts a graceful shutdown.
@@ -60,8 +60,9 @@
 }
 
 // stopAccepting accepts all connections in the listener's queue and closes the listener.
-// Clients regard connections in the queue as established, and the close would reset them. StopQueueing makes
-// sure that no connection enters the queue between the last accept and the close, even if the process is suspended in between.
+// Clients regard connections in the queue as established, and the close would reset them.
+// StopQueueing keeps new connections out of the queue. So none enters it between the last accept and the close,
+// even if the process is suspended in between.
 func (s *Server) stopAccepting() {
 	if s.listener >= 0 {
 		s.Loop.StopQueueing(s.listener)
@@ -130,7 +131,7 @@
 }
 
 // rejectIncomplete ends all connections without a complete request when the shutdown leaves too little time for a response.
-// Partial requests are rejected with status 503. No upstream has run them, so clients can safely retry them at another instance.
+// Partial requests are rejected with status 503. No upstream has executed them, so clients can safely retry them elsewhere.
 // Connections on which no part of a request has arrived are closed.
 func (s *Server) rejectIncomplete() {
 	for e := s.readingConns.Front(); e != nil; {
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -58,7 +58,7 @@
 	idle, busy := s.connect(), s.connect()
 	idle.send("GET /-/ready HTTP/1.1\r\n\r\n")
 	if resp, _ := idle.response(); resp.StatusCode != 200 {
-		t.Fatalf("readiness status %d", resp.StatusCode)
+		t.Fatalf("readiness status %d before the shutdown, want 200", resp.StatusCode)
 	}
 	busy.send(getRequest("1"))
 	x := s.nextExchange()
@@ -67,12 +67,12 @@
 	late := s.connect() // connects during the shutdown
 	late.send("GET /-/ready HTTP/1.1\r\n\r\n")
 	if resp, _ := late.response(); resp.StatusCode != 503 || !resp.Close {
-		t.Errorf("readiness status %d during the shutdown", resp.StatusCode)
+		t.Errorf("readiness status %d during the shutdown, closes %v, want 503 and a close", resp.StatusCode, resp.Close)
 	}
 	idle.send(getRequest("2"))
 	s.serve(s.nextExchange(), "two")
 	if resp, got := idle.response(); got != "two" || !resp.Close {
-		t.Errorf("request on an idle connection: %q, closes %v", got, resp.Close)
+		t.Errorf("response on an idle connection: %q, closes %v, want %q and a close", got, resp.Close, "two")
 	}
 	s.Do(func() {
 		select {
@@ -83,7 +83,7 @@
 	})
 	s.serve(x, "one")
 	if _, got := busy.response(); got != "one" {
-		t.Errorf("response to the pending request: %q", got)
+		t.Errorf("response to the pending request: %q, want %q", got, "one")
 	}
 	busy.Close()
 	idle.Close()
@@ -113,7 +113,7 @@
 	close(release)
 	s.serve(s.nextExchange(), "one")
 	if _, got := c.response(); got != "one" {
-		t.Errorf("response %q", got)
+		t.Errorf("response %q, want %q", got, "one")
 	}
 }
 
@@ -129,7 +129,7 @@
 	c.send(getRequest("1"))
 	s.serve(s.nextExchange(), "one")
 	if _, got := c.response(); got != "one" {
-		t.Errorf("response %q", got)
+		t.Errorf("response %q, want %q", got, "one")
 	}
 }
 
@@ -157,7 +157,7 @@
 	}
 	s.serve(x, "one")
 	if _, got := slow.response(); got != "one" {
-		t.Errorf("response %q", got)
+		t.Errorf("response %q, want %q", got, "one")
 	}
 	s.runTimers(schedule.RejectFrom)
 	for name, c := range map[string]*client{"partial head": partialHead, "partial body": partialBody} {
--- a/internal/downstream/upload.go
+++ b/internal/downstream/upload.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// decode decodes bytes of the body. It reports whether more bytes have to be read: not if the body is complete or was rejected.
+// decode decodes bytes of the body. It reports whether more bytes have to be read.
+// This is false if the body is complete or the request was rejected.
 func (s *requestStream) decode(p []byte) bool {
 	r := &s.conn.reader
 	r.receivedAt = s.conn.server.Loop.EarliestArrivalAt(s.conn.fd)
--- a/internal/downstream/validate.go
+++ b/internal/downstream/validate.go
@@ -42,8 +42,8 @@
 	return class, s.validateIdempotency(r, s.settings.Idempotency[class])
 }
 
-// validateIdempotency checks whether the method, body,
-// idempotency key and id of a request are allowed for a class with the given idempotency.
+// validateIdempotency checks whether the method, the body and the idempotency key of a request are allowed for a class
+// with the given idempotency. It also checks that no other request with the same id is open.
 func (s *Server) validateIdempotency(r *http1.Request, idempotency balance.Idempotency) *http1.Error {
 	idempotent := idempotency == balance.Idempotent
 	_, open := s.openRequestIDs[r.ID]
--- a/internal/downstream/validate_test.go
+++ b/internal/downstream/validate_test.go
@@ -80,7 +80,7 @@
 	}
 	s.serve(x, "one")
 	if _, got := first.response(); got != "one" {
-		t.Errorf("response to the first request: %q", got)
+		t.Errorf("response to the first request: %q, want %q", got, "one")
 	}
 	other.send(getRequest("1"))
 	s.nextExchange()
@@ -89,7 +89,7 @@
 	first.send(getRequest("1"))
 	s.serve(s.nextExchange(), "again")
 	if _, got := first.response(); got != "again" {
-		t.Errorf("response after the disconnect: %q", got)
+		t.Errorf("response after the disconnect: %q, want %q", got, "again")
 	}
 	s.Do(func() {
 		if len(s.server.openRequestIDs) != 0 {
--- a/internal/driver/actions.go
+++ b/internal/driver/actions.go
@@ -75,7 +75,7 @@
 	d.upstreams.Start(a)
 }
 
-// skipAttempt adds an attempt that is not sent and reports it to the Balancer with the outcome balance.NotSent.
+// skipAttempt adds an attempt that is not sent, and reports its end to the Balancer with the outcome balance.NotSent.
 func (d *Driver) skipAttempt(x *exchange.Exchange, upstream balance.UpstreamID) {
 	d.counters.attemptsEnded[balance.NotSent].Inc()
 	d.balancer.OnAttemptEnded(d.now(), &balance.AttemptEnded{
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -56,7 +56,7 @@
 	lastRequestID   balance.RequestID                        // the id that was assigned last
 	attemptTimeouts map[*exchange.Attempt]*timer.Timer       // timeouts of attempts in flight
 
-	shutdownDeadline balance.Millis // latest time of any final response; infinite unless a shutdown has set it
+	shutdownDeadline balance.Millis // time by which every exchange has to end; infinite unless a shutdown has set it
 	shutdownTimer    *timer.Timer   // calls endAllExchanges at shutdownDeadline; nil unless a shutdown has set it
 }
 
--- a/internal/driver/endpoints.go
+++ b/internal/driver/endpoints.go
@@ -8,7 +8,7 @@
 )
 
 // UpdateEndpoints applies an update of the endpoint list. If an upstream is no longer ready, the attempts that are
-// waiting for a connection to it are cancelled: the connection could be established long after the start of draining.
+// waiting for a connection to it end as not sent: the connection could be established long after the start of draining.
 func (d *Driver) UpdateEndpoints(update balance.EndpointUpdate) {
 	d.counters.endpointUpdates.Inc()
 	readyBefore := slices.Sorted(maps.Keys(d.ready))
@@ -32,7 +32,7 @@
 }
 
 // Disable excludes an upstream from receiving requests until Enable is called, whatever its state in the endpoint list.
-// It cancels the attempts that are waiting for a connection to the upstream.
+// Attempts that are waiting for a connection to the upstream end as not sent.
 func (d *Driver) Disable(id balance.UpstreamID) {
 	d.disabled[id] = true
 	d.balancer.OnDisable(d.now(), id)
--- a/internal/driver/endpoints_test.go
+++ b/internal/driver/endpoints_test.go
@@ -8,8 +8,8 @@
 	"salttrack/internal/exchange"
 )
 
-// When an upstream is disabled, attempts that are waiting for a connection to it are cancelled, and no request is
-// forwarded to it until it is enabled again.
+// When an upstream is disabled, the driver calls CancelUnsent for it, and forwards no request to it until it is enabled
+// again.
 func TestDisable(t *testing.T) {
 	f := newFixture(t, testConfig())
 	ids := []balance.UpstreamID{1, 2, 3}
@@ -18,11 +18,11 @@
 	}
 	x := f.receive(idempotentClass, 500)
 	if len(f.inFlight) != 0 || !slices.Equal(f.cancelUnsent, ids) || f.responses[x][0].Disposition != exchange.Rejected {
-		t.Errorf("%d attempts sent, CancelUnsent called for upstreams %v, responses %v", len(f.inFlight), f.cancelUnsent, f.responses[x])
+		t.Errorf("%d attempts sent, CancelUnsent called for upstreams %v, responses %v; want none sent, %v and a rejection", len(f.inFlight), f.cancelUnsent, f.responses[x], ids)
 	}
 	f.driver.Enable(2)
 	if f.receive(idempotentClass, 500); len(f.inFlight) != 1 || f.inFlight[0].Upstream != 2 {
-		t.Errorf("attempts in flight after upstream 2 was enabled: %v", f.inFlight)
+		t.Errorf("attempts in flight after upstream 2 was enabled: %v, want one at upstream 2", f.inFlight)
 	}
 }
 
@@ -41,9 +41,9 @@
 	return update
 }
 
-// An attempt that is waiting for a connection is cancelled if its upstream starts to drain or is missing from a
+// An attempt that is waiting for a connection ends as not sent if its upstream starts to drain or is missing from a
 // snapshot, because the connection could be established much later. The request is then forwarded to another upstream.
-// This does not use the retry budget, since nothing was sent.
+// This is not charged to the retry budget, since nothing was sent.
 func TestDrainWhileConnecting(t *testing.T) {
 	for _, form := range []string{"delta", "snapshot"} {
 		f := newFixture(t, testConfig())
@@ -58,11 +58,11 @@
 			t.Errorf("%s: CancelUnsent called for upstreams %v, want %d", form, f.cancelUnsent, first.Upstream)
 		}
 		if len(f.inFlight) != 1 || f.inFlight[0].Upstream == first.Upstream || len(f.responses[x]) != 0 {
-			t.Fatalf("%s: %d attempts in flight, %d responses", form, len(f.inFlight), len(f.responses[x]))
+			t.Fatalf("%s: %d attempts in flight, %d responses; want 1 attempt at another upstream and no response", form, len(f.inFlight), len(f.responses[x]))
 		}
 		f.end(f.inFlight[0], balance.OK, "ok")
 		if f.disposition(x) != exchange.Served {
-			t.Errorf("%s: responses %v", form, f.responses[x])
+			t.Errorf("%s: responses %v, want one that is served", form, f.responses[x])
 		}
 	}
 }
--- a/internal/driver/events.go
+++ b/internal/driver/events.go
@@ -54,7 +54,7 @@
 }
 
 // ClientDisconnected reports that the client of an exchange has disconnected, or that the rest of its request body was
-// rejected. The exchange ends as abandoned.
+// rejected. The exchange ends with the disposition Abandoned. If it has already ended, the call has no effect.
 func (d *Driver) ClientDisconnected(x *exchange.Exchange) {
 	if d.finish(x, exchange.Response{Disposition: exchange.Abandoned}) {
 		d.concludeRequest(x.ID)
--- a/internal/driver/helpers_test.go
+++ b/internal/driver/helpers_test.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// receive reports a new request whose response is due after the given time in ms. The client stops waiting 10 ms later.
+// receive reports a new request to the driver. Its response is due after the given time in ms, and its client stops
+// waiting 10 ms later.
 func (f *fixture) receive(class uint8, deadline balance.Millis) *exchange.Exchange {
 	x := exchange.New(f, nil)
 	x.Class = class
--- a/internal/driver/invariants_test.go
+++ b/internal/driver/invariants_test.go
@@ -45,7 +45,7 @@
 	sum := r.value("requests_served") + r.value("requests_rejected") + r.value("requests_failed") +
 		r.value("requests_abandoned") + r.value("requests_in_progress")
 	if r.value("requests_accepted") != sum {
-		r.t.Fatalf("%d requests received, sum of the others is %d", r.value("requests_accepted"), sum)
+		r.t.Fatalf("%d requests received, but %d ended or in progress", r.value("requests_accepted"), sum)
 	}
 }
 
@@ -55,7 +55,7 @@
 	r.t.Helper()
 	for _, x := range r.received {
 		if n := len(r.responses[x]); n != 1 && !r.abandoned[x] || n > 0 && r.abandoned[x] {
-			r.t.Fatalf("%d responses to a request, abandoned: %v", n, r.abandoned[x])
+			r.t.Fatalf("%d responses to a request, abandoned: %v; want 1 response, or none if abandoned", n, r.abandoned[x])
 		}
 	}
 	ended := uint64(0)
--- a/internal/driver/requests_test.go
+++ b/internal/driver/requests_test.go
@@ -13,7 +13,7 @@
 	f.advance(20)
 	f.end(f.inFlight[0], balance.OK, "body")
 	if f.disposition(x) != exchange.Served || string(f.responses[x][0].Body) != "body" {
-		t.Errorf("responses %+v", f.responses[x])
+		t.Errorf("responses %+v, want one that is served with the body of the attempt", f.responses[x])
 	}
 	if len(f.driver.exchanges) != 0 || len(f.driver.attemptTimeouts) != 0 {
 		t.Errorf("%d exchanges and %d timeouts left in the driver", len(f.driver.exchanges), len(f.driver.attemptTimeouts))
@@ -84,7 +84,7 @@
 	}
 	x := f.receive(nonIdempotentClass, 1000)
 	if len(upstreams) < 2 || upstreams[0] == upstreams[1] || f.disposition(x) != exchange.Rejected {
-		t.Errorf("attempts at %v, responses %+v", upstreams, f.responses[x])
+		t.Errorf("attempts at upstreams %v, responses %+v; want attempts at different upstreams, then a rejection", upstreams, f.responses[x])
 	}
 	_, more := f.driver.balancer.NextAction()
 	if f.driver.executing || more || len(f.driver.exchanges) != 0 {
@@ -101,13 +101,13 @@
 		x := f.receive(idempotentClass, 1000)
 		f.end(f.inFlight[0], balance.InvalidRequest, "")
 		if f.disposition(x) != exchange.Failed || !f.responses[x][0].InvalidRequest || len(f.inFlight) != 0 {
-			t.Fatalf("responses %+v, %d attempts in flight", f.responses[x], len(f.inFlight))
+			t.Fatalf("responses %+v, %d attempts in flight; want a failure with InvalidRequest and no attempt", f.responses[x], len(f.inFlight))
 		}
 	}
 	for range 20 {
 		x := f.receive(nonIdempotentClass, 1000)
 		if len(f.inFlight) != 1 {
-			t.Fatalf("the next request was not sent: %+v", f.responses[x])
+			t.Fatalf("%d attempts in flight for a valid request, responses %+v; want 1 attempt", len(f.inFlight), f.responses[x])
 		}
 		f.end(f.inFlight[0], balance.OK, "")
 	}
--- a/internal/driver/shutdown_test.go
+++ b/internal/driver/shutdown_test.go
@@ -42,7 +42,7 @@
 		f.timers.Run(f.now)
 		for name, x := range exchanges {
 			if len(f.responses[x]) != 1 || f.responses[x][0].Disposition == exchange.Served {
-				t.Errorf("class %d, %s: responses %v", class, name, f.responses[x])
+				t.Errorf("class %d, %s: responses %v, want one that is not served", class, name, f.responses[x])
 			}
 			for _, a := range x.Attempts {
 				if !a.Ended {
@@ -77,6 +77,6 @@
 	}
 	f.timers.Run(deadline)
 	if f.disposition(queued) != exchange.Rejected {
-		t.Errorf("responses %v", f.responses[queued])
+		t.Errorf("responses to the queued request: %v, want one rejection", f.responses[queued])
 	}
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -36,7 +36,7 @@
 	Disposition    Disposition
 	Body           []byte               // complete body of the upstream's response; only if Served and Stream is nil
 	Stream         *bodystream.Stream   // body that is still being received; only if Served, in place of Body
-	RetryAfter     balance.Millis       // time after which the client should retry; only if Rejected; 0 if it is not told a time
+	RetryAfter     balance.Millis       // delay after which the client should retry; only if Rejected; 0 for no advice
 	InvalidRequest bool                 // an upstream found the request itself invalid; only if Failed
 	Reason         balance.GiveUpReason // why the request was not served, for the trace; only if Rejected or Failed
 }
@@ -71,7 +71,7 @@
 	openAttempts int // number of attempts that have not ended
 }
 
-// Attempt is one attempt to have an upstream execute a request.
+// Attempt is one attempt to get a request executed by an upstream.
 type Attempt struct {
 	Exchange        *Exchange
 	Number          int // index in Exchange.Attempts
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -28,7 +28,7 @@
 		t.Error("the exchange is not finished after the first end of its only attempt")
 	}
 	if unsent := x.AddUnsentAttempt(8); unsent.Number != 1 || !unsent.Ended || !x.Finished() {
-		t.Errorf("unsent attempt %+v", unsent)
+		t.Errorf("unsent attempt %+v, finished %v; want attempt number 1 that has ended, in a finished exchange", unsent, x.Finished())
 	}
 }
 
@@ -36,7 +36,7 @@
 	c := &client{}
 	x := New(c, nil)
 	if !x.Respond(Response{Disposition: Abandoned}) || x.Respond(Response{Disposition: Served}) || len(c.responses) != 0 {
-		t.Errorf("%d responses sent to a disconnected client", len(c.responses))
+		t.Errorf("%d responses sent to a disconnected client, want none, and a second response that is refused", len(c.responses))
 	}
 }
 
--- a/internal/http1/decoder.go
+++ b/internal/http1/decoder.go
@@ -37,7 +37,8 @@
 }
 
 // decoder decodes the messages of one connection in sequence.
-// Between calls it keeps an incomplete line, limited to MaxHeadBytes, and the buffered body, limited to MaxBufferedBodyBytes.
+// Between calls it keeps an incomplete line, limited to MaxHeadBytes, and the buffered body.
+// The body may exceed MaxBufferedBodyBytes by the bytes of one call: NeedsStreaming then reports true.
 type decoder struct {
 	state         state
 	strictLines   bool   // if true, a bare LF is an error in every line; if false, only in the lines after the head
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzRequest checks for any input that the decoder does not panic,
-// does not buffer more than its limits allow, and returns the same result whether the input is fed at once or in fragments.
+// FuzzRequest checks for any input that the decoder does not panic and does not buffer more than its limits allow.
+// It also checks that the result is the same whether the input is fed at once or in fragments.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /keep HTTP/1.1\r\nX-Txn: 1\r\nContent-Length: 5\r\n\r\nhello"), uint8(3))
 	f.Add([]byte("POST /p HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"), uint8(1))
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -12,8 +12,8 @@
 	MaxBodyBytes         = 33 << 20 // size of any body, except one that is passed to a sink
 )
 
-// Names of header fields. The constants have the usual terms for the custom fields (X-...),
-// whose names on the wire differ from these terms and appear only here.
+// Names of header fields. The custom fields (X-...) have names on the wire that mostly differ from the usual terms.
+// The names of their constants are the usual terms, and all code refers to the fields by these constants.
 const (
 	fieldHost             = "Host"
 	fieldConnection       = "Connection"
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -133,7 +133,8 @@
 	return nil
 }
 
-// setText sets a text field. The field may be repeated with the same value only, and its characters must lie between lowest and '~'.
+// setText sets a text field. The field may be repeated only with the same value.
+// Its characters must be ASCII between lowest and '~', both included.
 func setText(text *string, name string, value []byte, lowest byte) error {
 	if *text != "" && *text != string(value) {
 		return repeated(name)
@@ -168,8 +169,9 @@
 	return stateComplete, nil
 }
 
-// AppendRequest appends the request that is sent to an upstream: the head with the value of Host, and the body unless
-// it is streamed. The value of X-Remaining is remainingMS, the time in milliseconds for which the caller waits for the response.
+// AppendRequest appends the request that is sent to an upstream: the head, and the body unless it is streamed.
+// The field Host has the value host. The field X-Remaining says how long the caller waits for the response:
+// remainingMS is this time in milliseconds, and it is written in seconds.
 func AppendRequest(p []byte, r *Request, host string, remainingMS float64) []byte {
 	p = append(p, r.Method...)
 	p = append(p, ' ')
--- a/internal/http1/target.go
+++ b/internal/http1/target.go
@@ -15,9 +15,9 @@
 }
 
 // isUnambiguousPath reports whether all parsers interpret a path in the same way.
-// Such a path has no dot segments, no empty segments (except at its end), no backslash and no encoded slash,
-// backslash, dot or NUL, and each escape has two hexadecimal digits (RFC 3986, 3.3 and 6.2.2). This is required
-// since the first segment names the class of a request: an upstream must not find a different first segment than salttrack does.
+// Such a path has no dot segments, no empty segments (except at its end), no backslash, and no encoded slash, backslash,
+// dot or NUL. Each escape has two hexadecimal digits (RFC 3986, 3.3 and 6.2.2).
+// The first segment names the class of a request, so an upstream must not find a different first segment than salttrack does.
 func isUnambiguousPath(path []byte) bool {
 	segmentStart := 1
 	for i := 1; i <= len(path); i++ {
@@ -36,8 +36,8 @@
 	return true
 }
 
-// isUnambiguousEscape reports whether p, the text after a percent sign, begins with two hexadecimal
-// digits that do not encode a slash, backslash, dot or NUL. Some parsers treat these four as part of the path's structure.
+// isUnambiguousEscape reports whether p, the text after a percent sign, begins with two hexadecimal digits
+// that do not encode a slash, backslash, dot or NUL. Some parsers treat these four as part of the path's structure.
 func isUnambiguousEscape(p []byte) bool {
 	if len(p) < 2 {
 		return false
--- a/internal/settings/classes_test.go
+++ b/internal/settings/classes_test.go
@@ -13,7 +13,7 @@
 // reloadModel models a balancer that reloads its settings while requests begin and end.
 type reloadModel struct {
 	running  Settings
-	requests map[uint8]string // class names of requests in progress, by class number
+	requests map[uint8]string // for each class number with requests in progress, the class name
 }
 
 func (m *reloadModel) inUse(class uint8) bool { return m.requests[class] != "" }
@@ -82,7 +82,7 @@
 				model.checkClass(t, loaded, next, number)
 			}
 			if live != len(loaded.Classes) {
-				t.Fatalf("%d classes, want %d", live, len(loaded.Classes))
+				t.Fatalf("%d classes that are not removed, want %d", live, len(loaded.Classes))
 			}
 			model.running = next
 		}
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -6,7 +6,9 @@
 	"salttrack/balance"
 )
 
-// Paths of settings, as the simulator sends them and configuration files have them. No other file contains these names.
+// Paths of settings, as the simulator sends them and configuration files have them.
+// The names of the constants are the usual terms, which often differ from the names in the paths.
+// All other code of this package refers to the settings by the constants.
 const (
 	instancePath          = "me"
 	replicasPath          = "replicas_of_me"
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -20,7 +20,7 @@
 }
 
 // fail records an error for the value at a path, unless an earlier error has been recorded.
-// allowed is a description of the allowed values; it is empty if the reason contains one.
+// The parameters reason and allowed are the fields Reason and Allowed of the error.
 func (r *reader) fail(path string, reason error, allowed string) {
 	if r.err == nil {
 		r.err = &Error{Path: path, Value: r.document.values[path].text, Allowed: allowed, Reason: reason}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -16,19 +16,19 @@
 	}
 	r := &reader{document: document}
 	if got := r.number("a.b"); got != 1.5 {
-		t.Errorf("number %v", got)
+		t.Errorf("number %v, want 1.5", got)
 	}
 	if got := r.list("list"); len(got) != 2 {
-		t.Errorf("list %v", got)
+		t.Errorf("list %v, want 2 items", got)
 	}
 	if got := r.list("empty"); len(got) != 0 {
-		t.Errorf("empty list %v", got)
+		t.Errorf("empty list %v, want no items", got)
 	}
 	if !r.boolean("yes") {
 		t.Error("boolean false, want true")
 	}
 	if got := r.optionalNumber("absent", 4); got != 4 {
-		t.Errorf("default %v", got)
+		t.Errorf("optional number %v, want the default 4", got)
 	}
 	if r.err != nil {
 		t.Error(r.err)
@@ -93,22 +93,22 @@
 		t.Errorf("%+v", s)
 	}
 	if len(s.TenantQuota) != 1 || s.TenantQuota[0] != 40.5 {
-		t.Errorf("quotas %v", s.TenantQuota)
+		t.Errorf("tenant quotas %v, want [40.5]", s.TenantQuota)
 	}
 	if s.Classes[0].Idempotency != balance.Idempotent {
-		t.Errorf("%+v", s.Classes[0])
+		t.Errorf("class %+v, want an idempotent one", s.Classes[0])
 	}
 	withKey := s.Classes[1]
 	if withKey.Idempotency != balance.WithIdempotencyKey || withKey.DeduplicationScope != balance.ScopeCell ||
 		withKey.DeduplicationWindow != 7000 {
-		t.Errorf("%+v", withKey)
+		t.Errorf("class %+v, want one with an idempotency key, cell scope and a window of 7000 ms", withKey)
 	}
 }
 
 func TestDecodeDefaults(t *testing.T) {
 	s, err := decodeSettings(settingstest.Lines("tenants="))
 	if err != nil || s.InFlightColumn != -1 || len(s.TenantQuota) != 0 || s.TierCount != 1 {
-		t.Errorf("%v %+v", err, s)
+		t.Errorf("error %v, settings %+v; want no in-flight column, no tenants and one tier", err, s)
 	}
 	if s.ConnectTimeout != 250 || s.KeepAlive != 15000 || s.OverQuotaWeight != 1 {
 		t.Errorf("%+v", s)
@@ -129,7 +129,7 @@
 	} {
 		_, err := decodeSettings(settingstest.Lines("classes.0.name=read", "classes.1.name=pay", tt.change))
 		if err == nil || !strings.Contains(err.Error(), tt.want) {
-			t.Errorf("%s: %v", tt.change, err)
+			t.Errorf("%s: error %v, want one that contains %q", tt.change, err, tt.want)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	if fromJSON, err := Decode(document); err != nil || !reflect.DeepEqual(fromJSON, lines) {
-		t.Errorf("%v\nJSON  %+v\nlines %+v", err, fromJSON, lines)
+		t.Errorf("error %v\nfrom JSON  %+v\nfrom lines %+v", err, fromJSON, lines)
 	}
 }
 
--- a/internal/simwire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedBatch(t *testing.T) {
 	tests := []struct{ name, frame, want string }{
 		{"incomplete header", "14000000 0000", "after batch 0: incomplete header: received 6 of 20 bytes"},
 		{"length shorter than the header", "13000000 00000000 00000000206ec040 07000000", "batch 7: frame length 19 is not from 20 to 268435456 bytes"},
--- a/internal/timer/timer.go
+++ b/internal/timer/timer.go
@@ -49,6 +49,7 @@
 
 // Run runs the callbacks of all timers that are due. Timers that these callbacks set are left for the next call, even if
 // they are due. Otherwise a callback that sets itself again without a delay would keep Run from returning.
+// If such a timer has an earlier time than other timers that are due, these are left for the next call too.
 func (h *Heap) Run(now float64) {
 	limit := h.lastSequence
 	for len(h.pending) > 0 && h.pending[0].due <= now && h.pending[0].sequence <= limit {
--- a/internal/timer/timer_test.go
+++ b/internal/timer/timer_test.go
@@ -24,11 +24,11 @@
 	h.Run(9)
 	h.Run(20)
 	if got != "abc" || h.Len() != 1 {
-		t.Errorf("ran %q, %d pending", got, h.Len())
+		t.Errorf("ran %q, %d pending; want \"abc\" and 1 pending", got, h.Len())
 	}
 	h.Run(30)
 	if _, ok := h.Next(); ok || got != "abcd" {
-		t.Errorf("ran %q", got)
+		t.Errorf("ran %q, timers pending: %v; want \"abcd\" and none pending", got, ok)
 	}
 }
 
@@ -44,7 +44,7 @@
 	h.Set(0, setAgain)
 	h.Run(5)
 	if runs != 1 || h.Len() != 1 {
-		t.Errorf("ran %d times, %d pending", runs, h.Len())
+		t.Errorf("the callback ran %d times, %d timers pending; want 1 and 1", runs, h.Len())
 	}
 }
 
