--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -11,7 +11,7 @@
 //   - The request is forwarded, and the attempt ends.
 //   - If the attempt failed, the request may be retried within the retry budget.
 //
-// All other code handles exceptions; docs/design.md says when each of them applies.
+// All other code handles exceptional cases; docs/design.md says when each of them applies.
 package balance
 
 import "math/rand/v2"
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestOrdinaryPathCost checks that a request without exceptions causes no allocation,
+// TestOrdinaryPathCost checks that a request that is served by its first attempt causes no allocation,
 // and that the selection of its upstream reads only the subset of the instance.
 func TestOrdinaryPathCost(t *testing.T) {
 	b, now, id := New(testConfig(), 1, 0), 0.0, RequestID(0)
--- a/balance/host_test.go
+++ b/balance/host_test.go
@@ -64,7 +64,7 @@
 
 func (f *fakeHost) fail(format string, args ...any) {
 	f.t.Helper()
-	f.t.Fatalf("at %.0f: %s", f.now, fmt.Sprintf(format, args...))
+	f.t.Fatalf("at %.0f ms: %s", f.now, fmt.Sprintf(format, args...))
 }
 
 // executeActions executes the pending actions of the instance.
--- a/balance/limiter.go
+++ b/balance/limiter.go
@@ -15,7 +15,7 @@
 	minUtilization   = 0.8   // a limit rises only while at least this fraction of it is in use
 	initialLimit     = 6.0   // limit at the start: attempts in flight per upstream, over all replicas
 	minLimit         = 0.5   // lower bound of a limit: attempts in flight per upstream, over all replicas
-	minLimitOnErrors = 4.0   // attempts in flight per upstream: lower bound if only errors lower the limit
+	minLimitOnErrors = 4.0   // lower bound of a limit if only errors lower it: per upstream, all replicas
 	minCapacity      = 0.1   // lower bound of an instance's limit, in attempts, so that it keeps measuring
 )
 
--- a/balance/request.go
+++ b/balance/request.go
@@ -139,7 +139,7 @@
 // The request is retried or given up if it has no final response and no other attempt in flight.
 func (b *Balancer) endAttempt(r *request, a *attempt, e *AttemptEnded) {
 	wasConcluded := r.concluded
-	recordedAtStart := !a.countsAsLoad && wasConcluded && e.Outcome == OK // by startStreaming
+	recordedAtStart := !a.countsAsLoad && wasConcluded && e.Outcome == OK // see startStreaming
 	a.ended = true
 	a.notSent = e.Outcome == NotSent
 	r.openAttempts--
--- a/balance/zone.go
+++ b/balance/zone.go
@@ -23,7 +23,7 @@
 	roundingDraw     float64     // random number in [0, 1), drawn at each tick; see zoneHasCapacity
 	subset           []*upstream // upstreams that this instance uses
 	warmEquivalents  float64     // sum of the warm fractions of its usable upstreams
-	limitPerUpstream float64     // attempts in flight per warm upstream
+	limitPerUpstream float64     // limit on the attempts of this instance in flight, per warm upstream
 }
 
 func (z *zoneClass) addInFlight(class uint8, n int) {
--- a/internal/downstream/response.go
+++ b/internal/downstream/response.go
@@ -32,7 +32,8 @@
 	w.write()
 }
 
-// checkMayRespond checks the invariant that no other response is being written and that no exchange is open.
+// checkMayRespond checks the invariant that a response may start: no other response is being written, no exchange is open,
+// and the last response of the connection has not been sent.
 func (c *conn) checkMayRespond() {
 	invariant.Check(c.writer.unsent == nil && c.pending.exchange == nil && !c.linger.started, "a connection has one response at a time")
 }
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -31,7 +31,7 @@
 	Config    balance.Config
 	Seed      uint64                // of the Balancer's random number generator
 	Now       func() balance.Millis // returns the time of a monotonic clock, in ms
-	Timers    *timer.Heap           // uses the same clock as Now
+	Timers    *timer.Heap           // timers of the event loop, by the same clock as Now
 	Upstreams Upstreams
 	Counters  *counter.Set
 	Trace     *trace.Tracer // writes trace events of requests; nil disables tracing
--- a/internal/http1/decoder.go
+++ b/internal/http1/decoder.go
@@ -43,7 +43,7 @@
 	state         state
 	strictLines   bool   // if true, a bare LF is an error in every line; if false, only in the lines after the head
 	partialLine   []byte // beginning of a line whose end has not been received yet
-	lineBytes     int    // bytes received of the head, of the lines of the current chunk, or of the trailer section
+	lineBytes     int    // bytes of lines since the start of the message or, in a chunked body, since the end of the last chunk
 	framing       framing
 	remaining     int64              // bytes that are missing of a body with Content-Length, or of the current chunk
 	bodyBytes     int64              // bytes received of the body; not counted if there is a sink
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -8,7 +8,7 @@
 // Response is a decoded response of an upstream or of the discovery service.
 type Response struct {
 	Status     int
-	Rejected   bool   // the upstream has rejected the request without running it
+	Rejected   bool   // the upstream has rejected the request without executing it
 	LoadReport string // see LoadReportValue; "" if there is none
 	Close      bool   // the connection ends with the response
 	Body       []byte
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -9,7 +9,7 @@
 // record is an encoded event. Its methods decode the field at an offset in bytes from the start of the record.
 type record struct {
 	fields []byte // the record itself, of a fixed size
-	tail   []byte // the part of the frame behind all records, which has content of variable length
+	tail   []byte // the part of the frame after all records, which has content of variable length
 }
 
 func (r record) uint8(offset int) uint8     { return r.fields[offset] }
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -53,7 +53,7 @@
 }
 
 // RejectRequest adds an action that rejects a request, which tells the client that a retry is safe.
-// retryAfter is the time in ms after which the client should retry; if it is 0, the client is not told a time.
+// retryAfter is the time in ms after which the client should retry; 0 gives no advice.
 func (r *Reply) RejectRequest(instance InstanceID, request uint32, retryAfter float64) {
 	fields := r.add(codeRejectRequest, instance)
 	putUint32(fields, 3, request)
