--- a/cmd/salttrack/helpers_test.go
+++ b/cmd/salttrack/helpers_test.go
@@ -131,8 +131,9 @@
 	return e.updates[n:], e.generations
 }
 
-// serveWatch is the handler of the discovery service for a watch. It sends all updates, and an empty line about every second.
-// The balancer requires a line at least every 2 s, otherwise it treats the watch as failed.
+// serveWatch is the handler of the discovery service for a watch.
+// It sends all updates, and as a keepalive an empty line about every second. The protocol requires a keepalive every 2 s.
+// The balancer opens a new watch if it receives neither an update nor a keepalive for 3 s.
 func (e *environment) serveWatch(w http.ResponseWriter, r *http.Request) {
 	_, generation := e.updatesFrom(0)
 	lastEmptyLine := time.Now()
--- a/cmd/salttrack/hot_restart_test.go
+++ b/cmd/salttrack/hot_restart_test.go
@@ -21,9 +21,9 @@
 	address     string   // address of the listening socket
 	directory   string   // parent directory of the hot restart records
 
-	stop             chan struct{} // closed to stop the clients
-	clients          sync.WaitGroup
-	sent, unanswered atomic.Int64 // numbers of requests that were sent, and that got no response
+	stop       chan struct{} // closed to stop the clients
+	clients    sync.WaitGroup
+	sent, lost atomic.Int64 // numbers of requests that were sent, and that got no response of status 200 or 503
 }
 
 // process is one process of the balancer.
@@ -68,20 +68,20 @@
 				case <-time.After(time.Millisecond):
 				}
 				if status, _ := p.do("read", fmt.Sprint("load", i, "-", h.sent.Add(1))); status != 200 && status != 503 {
-					h.unanswered.Add(1)
+					h.lost.Add(1)
 				}
 			}
 		})
 	}
 }
 
-// stopLoad stops the clients, and checks that each request got a response.
+// stopLoad stops the clients, and checks that each request got a response of status 200 or 503.
 func (h *hotRestartTest) stopLoad() {
 	h.t.Helper()
 	close(h.stop)
 	h.clients.Wait()
-	if h.unanswered.Load() != 0 || h.sent.Load() < 100 {
-		h.t.Errorf("%d of %d requests got no response, want 0 of at least 100", h.unanswered.Load(), h.sent.Load())
+	if h.lost.Load() != 0 || h.sent.Load() < 100 {
+		h.t.Errorf("%d of %d requests got no response of status 200 or 503, want 0 of at least 100", h.lost.Load(), h.sent.Load())
 	}
 }
 
--- a/cmd/salttrack/kernel.go
+++ b/cmd/salttrack/kernel.go
@@ -10,5 +10,5 @@
 // loopKernel returns the kernel of the event loop, which is that of the operating system.
 func loopKernel(system loop.Kernel) (loop.Kernel, error) { return system, nil }
 
-// recordFiles returns the file system for hot restart records, which is that of the operating system.
-func recordFiles(system hotrestart.FileSystem) hotrestart.FileSystem { return system }
+// recordFileSystem returns the file system for hot restart records, which is that of the operating system.
+func recordFileSystem(system hotrestart.FileSystem) hotrestart.FileSystem { return system }
--- a/cmd/salttrack/kernel_faults.go
+++ b/cmd/salttrack/kernel_faults.go
@@ -23,9 +23,10 @@
 	return faultinject.Load(path, system)
 }
 
-// recordFiles returns the file system for hot restart records. It has injected faults if there is a faults file with rules for files.
+// recordFileSystem returns the file system for hot restart records.
+// It has injected faults if there is a faults file with rules for files.
 // It ignores an error of reading the faults file, since loopKernel reports that.
-func recordFiles(system hotrestart.FileSystem) hotrestart.FileSystem {
+func recordFileSystem(system hotrestart.FileSystem) hotrestart.FileSystem {
 	rules, err := faultinject.LoadFileRules(os.Getenv(faultsVariable))
 	if err != nil || len(rules) == 0 {
 		return system
--- a/cmd/salttrack/main.go
+++ b/cmd/salttrack/main.go
@@ -101,7 +101,7 @@
 	if c.ListenFD < 0 || directory == "" {
 		return
 	}
-	store, err := hotrestart.OpenDirectory(directory, c.Name, recordFiles(hotrestart.OSFileSystem{}))
+	store, err := hotrestart.OpenDirectory(directory, c.Name, recordFileSystem(hotrestart.OSFileSystem{}))
 	if err != nil {
 		log.WithError(err).Warn("hot restart disabled")
 		return
--- a/cmd/salttrack/override_test.go
+++ b/cmd/salttrack/override_test.go
@@ -69,7 +69,8 @@
 func TestDirectoryBlocks(t *testing.T) {
 	e := newEnvironment(t, echo, echo)
 	p := startReplaceable(t, e)
-	// Waits until no record is being written. Otherwise a temporary file could be renamed after it is replaced by a FIFO below.
+	// Waits until no record is being written.
+	// Otherwise the program could rename a FIFO, which replaces its temporary file below, to the name of the record.
 	p.waitFor("the record of the ready process", func() bool {
 		text, _ := os.ReadFile(p.files + ".record")
 		return strings.Contains(string(text), `"ready":true`)
--- a/cmd/salttrack/reload_test.go
+++ b/cmd/salttrack/reload_test.go
@@ -23,8 +23,8 @@
 	first, second *environment // environment of the original configuration, and of changed ones
 	path          string       // path of the configuration file
 	original      []byte       // original configuration
-	succeeded     int          // number of reloads that have to have succeeded
-	failed        int          // number of reloads that have to have failed
+	succeeded     int          // expected number of successful reloads
+	failed        int          // expected number of failed reloads
 }
 
 // startReloadTest starts a program with the discovery service of the first environment.
--- a/cmd/salttrack/scale_test.go
+++ b/cmd/salttrack/scale_test.go
@@ -105,10 +105,10 @@
 	go server.Serve(listener)
 	t.Cleanup(func() { server.Close() })
 	port := listener.Addr().(*net.TCPAddr).Port
-	const thousandsMore = 3.2
+	const thousandUpstreams = 3.2 // number of upstreams of the second program, in thousands
 	few, many := usageWithUpstreams(t, port, 200), usageWithUpstreams(t, port, 3200)
 	t.Logf("200 upstreams: %+v; 3,200: %+v", few, many)
-	if allowed := 1.5*few.peakMB + 8 + 4*thousandsMore; many.peakMB > allowed {
+	if allowed := 1.5*few.peakMB + 8 + 4*thousandUpstreams; many.peakMB > allowed {
 		t.Errorf("peak memory %.1f MB, %.1f allowed", many.peakMB, allowed)
 	}
 	if allowed := 2*few.descriptors + 40; many.descriptors > allowed {
--- a/cmd/salttrack/streaming_test.go
+++ b/cmd/salttrack/streaming_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// longBodySize is the length of a body in bytes. The memory limit of the program in TestLongBodies is not higher.
+// longBodySize is the length of a body in bytes. It equals the memory limit of the program in TestLongBodies.
 const longBodySize = 32 << 20
 
 // longBody returns a body whose checksum changes if any byte is lost, repeated or moved.
--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -14,7 +14,7 @@
 // Limits of one connection. Times are in ms.
 const (
 	requestTimeout  balance.Millis = 10000 // time in which a request has to arrive completely
-	overrideTimeout balance.Millis = 6000  // time in which an override has to be done; longer than package node's timeout, whose error says more
+	overrideTimeout balance.Millis = 6000  // time in which an override has to be done; longer than the timeout of package node, whose error is more specific
 	writeTimeout    balance.Millis = 2000  // time in which the client has to accept the response
 	lingerTimeout   balance.Millis = 500   // time in which the client has to close the connection after the response
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -17,7 +17,7 @@
 // Limits of the server. Times are in ms, and sizes in bytes.
 const (
 	minIdleToShed balance.Millis = 30                // idle time before a connection may be shed; until then the rest of its request may arrive
-	acceptPause   balance.Millis = minIdleToShed / 4 // pause before accepting is tried again after it failed
+	acceptPause   balance.Millis = minIdleToShed / 4 // pause in accepting after an accept failed, or while no connection can be shed
 
 	maxAcceptsPerEvent = 64
 	readBufferSize     = 4 << 10
@@ -30,7 +30,8 @@
 	// KnowsUpstream reports whether the named upstream is on the endpoint list, is disabled, or was recently removed from the list.
 	KnowsUpstream(name string) bool
 	// SetDisabled disables or enables an upstream.
-	// It calls done on the event loop, with nil once the override is in force and stored, or with an error.
+	// It calls done on the event loop, with nil once the override is in force and, if hot restart is enabled, stored,
+	// or with an error.
 	// The server ignores further calls of done.
 	SetDisabled(name string, disabled bool, done func(error))
 }
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -12,14 +12,14 @@
 func TestParseUpdate(t *testing.T) {
 	u, err := ParseUpdate([]byte(snapshot(41, member("s-1", "in_service"), member("s-2", "terminating"))))
 	if err != nil || u.Revision != 41 || !u.Snapshot || len(u.Endpoints) != 2 || u.Endpoints[1].State != balance.Draining {
-		t.Fatalf("%+v %v", u, err)
+		t.Fatalf("update %+v, error %v", u, err)
 	}
 	want := Endpoint{Name: "s-1", Address: netip.MustParseAddrPort("127.0.0.1:80"), Zone: "b", Cell: 3, State: balance.Ready, StartedAt: 1000}
 	if u.Endpoints[0] != want {
-		t.Errorf("%+v, want %+v", u.Endpoints[0], want)
+		t.Errorf("endpoint %+v, want %+v", u.Endpoints[0], want)
 	}
 	if _, err := ParseUpdate([]byte(delta(1, `{"id":"s-1","phase":"terminated"}`))); err != nil {
-		t.Errorf("a removed endpoint needs no address: %v", err)
+		t.Errorf("a removed endpoint without an address is rejected: %v", err)
 	}
 }
 
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -50,8 +50,8 @@
 	return []error{e.Violation, e.Cause}
 }
 
-// implausible reports whether an update is well-formed but contradicts the earlier updates. The snapshot of the next
-// stream is then applied in any case.
+// implausible reports whether the error is a stale update or a snapshot without endpoints. Such an update is well-formed
+// but probably wrong. The snapshot of the next stream is then applied even if it is stale or has no endpoints.
 func (e *ProtocolError) implausible() bool {
 	return e.Violation == StaleUpdate || e.Violation == EmptySnapshot
 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -22,7 +22,7 @@
 }
 
 // Registry holds the listed endpoints and assigns ids to them for package balance. It keeps the id of a removed
-// upstream until maxRemovedNames other upstreams are removed, and the id of a pinned upstream until it is unpinned.
+// upstream for maxRemovedNames further removals, and the id of a pinned upstream at least until it is unpinned.
 type Registry struct {
 	zones        []string                      // names, indexed by zone number
 	ids          map[string]balance.UpstreamID // by upstream name
@@ -177,7 +177,7 @@
 	return id, ok
 }
 
-// Name returns the name of an upstream that is listed, pinned or was recently removed, or "" for any other id.
+// Name returns the name of an upstream that is listed, pinned or was recently removed. For any other id it returns "".
 func (r *Registry) Name(id balance.UpstreamID) string { return r.names[id] }
 
 // Pin assigns an id to an upstream, which may not be listed, and keeps the id until Unpin.
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -15,14 +15,14 @@
 	first := apply(t, r, table, snapshot(1, memberAt("s-1", "in_service", "127.0.0.1:78", 1000), member("s-2", "in_service"),
 		memberAt("s-3", "in_service", "127.0.0.1:79", 1000)))
 	if len(first) != 3 || len(table) != 3 {
-		t.Errorf("%+v, %d addresses", first, len(table))
+		t.Errorf("endpoints %+v and %d addresses after a snapshot, want 3 of each", first, len(table))
 	}
 	if want := (balance.Endpoint{ID: first[0].ID, Zone: 1, Cell: 3, State: balance.Ready, StartedAt: 1000}); first[0] != want {
-		t.Errorf("%+v, want %+v", first[0], want)
+		t.Errorf("endpoint %+v, want %+v", first[0], want)
 	}
 	changed := apply(t, r, table, delta(2, member("s-2", "terminating"), member("s-3", "terminated")))
 	if len(changed) != 2 || changed[0].ID != first[1].ID || changed[0].State != balance.Draining || changed[1].State != balance.Removed || len(table) != 2 {
-		t.Errorf("%+v, %d addresses after a delta", changed, len(table))
+		t.Errorf("endpoints %+v and %d addresses after a delta", changed, len(table))
 	}
 	apply(t, r, table, snapshot(3, strings.Replace(member("s-2", "in_service"), ":80", ":81", 1)))
 	if len(table) != 1 || table[first[1].ID].Port() != 81 {
--- a/internal/discovery/splitter_test.go
+++ b/internal/discovery/splitter_test.go
@@ -19,7 +19,7 @@
 	return b.String()
 }
 
-// Messages may be compact or indented, with line breaks of one or two bytes, and may be received in pieces of any size.
+// Messages may be compact or indented, with LF or CRLF line breaks, and may be received in pieces of any size.
 func TestSplitMessages(t *testing.T) {
 	compact := snapshot(50, member("s-{1", "in_service"), member("s\\\"]2", "terminating"))
 	pretty := indented(t, compact)
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -46,7 +46,9 @@
 func TestStreamsResume(t *testing.T) {
 	service := newService(t)
 	f := watch(t, service.Address())
-	s := service.nextSnapshot() // sent at once; a stream that resumes receives nothing for 2 s if no endpoint changes
+	// The first stream asks for a snapshot, which a working service sends at once. A stream that resumes after a
+	// revision receives nothing for 2 s if no endpoint changes, so it could not be told from one that hangs.
+	s := service.nextSnapshot()
 	s.sendHeader()
 	s.send("\n")
 	first := delta(43, member("s-1", "in_service")) + "\n"
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -14,11 +14,11 @@
 	messageTimeout            = 3000.0 // ms without an update or a keepalive; the service sends a keepalive every 2 s
 	minFirstMessageTimeout    = 1000.0 // ms; initial timeout for the first message of a stream that asks for a snapshot
 	maxFirstMessageTimeout    = 2000.0 // ms; longest timeout for the first message of a stream that asks for a snapshot
-	firstMessageTimeoutFactor = 1.5    // growth of the first message timeout with each stream without a message
+	firstMessageTimeoutFactor = 1.5    // growth of the first message timeout with each consecutive stream without a message
 	minBackoff                = 100.0  // ms; delay of the first retry after a failure
 	maxBackoff                = 1000.0 // ms; longest delay of a retry
 	backoffFactor             = 2.0    // growth of the retry delay with each consecutive failure
-	minStreamDuration         = 1000.0 // ms; a stream that stays open for longer resets the backoff to minBackoff
+	minStreamDuration         = 1000.0 // ms; a stream that had a message and was open for longer resets the backoff
 	maxStreams                = 2      // streams open at the same time: the newest, and one that timed out before it
 	readBufferBytes           = 16 << 10
 )
@@ -26,11 +26,13 @@
 // subscription watches the endpoint list at one address, normally with one stream. It owns its streams and its retry
 // timer until stop is called.
 //
-// The first stream, and each stream that follows one that timed out, asks for a snapshot, which the service sends at
-// once. A stream that resumes after a revision would receive nothing for 2 s if no endpoint changes, so that a working
-// service could not be distinguished from one that hangs. A stream that timed out stays open until the next stream
-// receives a message, so that updates are received whichever of the two streams the service sends them on. While
-// no stream receives messages, the last endpoint list stays in effect.
+// The first stream asks for a snapshot, and so does each stream after a timeout or an implausible update. The service
+// sends a snapshot at once. A stream that resumes after a revision would receive nothing for 2 s if no endpoint changes,
+// so that a working service could not be distinguished from one that hangs.
+//
+// A stream that timed out stays open until the next stream receives a message, so that updates are received whichever
+// of the two streams the service sends them on. While no stream receives messages, the last endpoint list stays in
+// effect.
 type subscription struct {
 	options  Options
 	counters *counters
--- a/internal/discovery/timeout_test.go
+++ b/internal/discovery/timeout_test.go
@@ -32,7 +32,8 @@
 		}
 		first.send(" ")
 		first.send("\t")
-		if f.AdvanceTimers(tt.within); f.CounterValue("watch_timeouts") != 1 { // service.next could wait for the real timeout
+		// The counter is checked before service.next, which would also succeed if the timeout passed in real time.
+		if f.AdvanceTimers(tt.within); f.CounterValue("watch_timeouts") != 1 {
 			t.Fatalf("%s: the stream has not timed out after %v ms", tt.name, tt.within)
 		}
 		second := service.next() // hangs
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -23,7 +23,7 @@
 	requests       *counter.Counter // streaming requests, including those whose connect fails
 	updates        *counter.Counter // updates that were applied
 	keepalives     *counter.Counter // keepalives that were received
-	malformed      *counter.Counter // streams that were closed because of a malformed response
+	malformed      *counter.Counter // streams that were closed because of a malformed response, or a body with a status other than 200
 	implausible    *counter.Counter // streams that were closed because of a stale update or an empty snapshot
 	timeouts       *counter.Counter // streams that received no message in time
 	failures       *counter.Counter // failed connects, failed streams and timeouts
--- a/internal/epoll/epolltest/epolltest.go
+++ b/internal/epoll/epolltest/epolltest.go
@@ -58,8 +58,8 @@
 	<-done
 }
 
-// AdvanceTimers runs the timers that are due within a duration in milliseconds, as if the duration had passed. The
-// clock of the loop does not change.
+// AdvanceTimers runs the timers that are due within a duration in milliseconds, as if the duration had passed. It stops
+// at the first due timer that was set during the call. The clock of the loop does not change.
 func (r *Rig) AdvanceTimers(ms float64) { r.Do(func() { r.Loop.Timers.Run(r.Loop.Now() + ms) }) }
 
 // CounterValue returns the value of a counter. An unknown counter fails the test.
--- a/internal/epoll/inherited.go
+++ b/internal/epoll/inherited.go
@@ -12,8 +12,8 @@
 
 // Adopt prepares a listening socket that the process has inherited at its start for use by the loop. Other processes
 // may have the same socket. If two of them accept at the same time, there may be a connection for one of them only, so
-// Adopt makes the socket non-blocking. It changes no other property that the processes share except the receive
-// timeout.
+// Adopt makes the socket non-blocking. Of the properties that the processes share, it changes only this one and the
+// receive timeout.
 func (k *Kernel) Adopt(fd int) error {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
 		return fmt.Errorf("descriptor %d is not a listening socket (%v)", fd, err)
--- a/internal/epoll/kernel.go
+++ b/internal/epoll/kernel.go
@@ -17,8 +17,8 @@
 const microsecondsPerMillisecond = 1000
 
 // Kernel implements loop.Kernel. It owns its epoll descriptor, the descriptor that ends a wait and the inherited
-// listener, if there is one. All other descriptors are owned by its callers. All methods except Wake are called on the
-// loop.
+// listener, if there is one. All other descriptors are owned by its callers. All methods except Now and Wake are called
+// on the loop.
 type Kernel struct {
 	epollFD           int
 	wakeFD            int // an eventfd that ends a wait
@@ -52,7 +52,8 @@
 	return float64(t.UnixMicro()) / microsecondsPerMillisecond
 }
 
-// Now returns the time of the monotonic clock, in milliseconds. The clock starts at the Unix time.
+// Now returns the time of the monotonic clock, in milliseconds. The clock starts at the Unix time. Now may be called from
+// any goroutine.
 func (k *Kernel) Now() float64 {
 	return k.startUnix + float64(time.Since(k.start).Microseconds())/microsecondsPerMillisecond
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -11,7 +11,7 @@
 )
 
 // update makes Compare replace the golden files, after an intended change of the output.
-var update = flag.Bool("update", false, "replace golden files by the output of the tests")
+var update = flag.Bool("update", false, "replace the content of golden files with the output of the tests")
 
 // Compare fails the test if a text differs from the golden file at a path. The error shows the differing lines.
 func Compare(t *testing.T, path, got string) {
--- a/internal/hotrestart/codec_test.go
+++ b/internal/hotrestart/codec_test.go
@@ -17,7 +17,8 @@
 	return Record{Ready: true, Overrides: overrides}
 }
 
-// Decoding fails for a record that is truncated at any byte, has a changed byte or has another format version.
+// Decoding fails for a record that is truncated at any byte or has another format version.
+// A record with a changed byte is never decoded to a different record.
 func TestDecodeRejectsDamagedRecords(t *testing.T) {
 	want := testRecord(map[string]Override{
 		"s-1":    {Disabled: true, SetAt: 1e12, Version: 1 << 62, SetAtUptime: 7.5},
@@ -29,7 +30,7 @@
 	}
 	got, err := decode(stored)
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
-		t.Errorf("%v %s", err, diff)
+		t.Errorf("decoding an encoded record: error %v, difference (-want +got) %s", err, diff)
 	}
 	for i := range stored {
 		if _, err := decode(stored[:i]); err == nil {
--- a/internal/hotrestart/directory.go
+++ b/internal/hotrestart/directory.go
@@ -118,7 +118,7 @@
 		}
 		// The lock has to be checked before the record is read.
 		// Then a process that publishes and exits in between counts as live, with its last record.
-		// In the other sequence it would count as exited, with an outdated record.
+		// In the other order it would count as exited, with an outdated record.
 		exited := isUnlocked(d.file(process, lockSuffix))
 		r, err := d.readRecord(process)
 		if err != nil {
--- a/internal/hotrestart/directory_test.go
+++ b/internal/hotrestart/directory_test.go
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	exited.Close()
-	successor.files = &failingFiles{failAt: 0, err: unix.ENOSPC}
+	successor.files = &failingFileSystem{failAt: 0, err: unix.ENOSPC}
 	err := successor.Publish(want, []string{exited.process})
 	if err == nil {
 		t.Error("published on a full disk")
--- a/internal/hotrestart/override.go
+++ b/internal/hotrestart/override.go
@@ -36,8 +36,8 @@
 }
 
 // Age returns the time since the override was set, in ms, given the present uptime of the machine.
-// It returns 0 if the age is unknown: for an override of an older program, or one that was set before the last boot.
-// Such an override does not expire.
+// It returns 0 if the age is unknown: for an override of an older program, or one whose uptime is higher than the present one,
+// which means that it was set before the last boot. Such an override does not expire.
 func (o Override) Age(uptime balance.Millis) balance.Millis {
 	if o.SetAtUptime <= 0 || o.SetAtUptime > uptime {
 		return 0
@@ -58,7 +58,7 @@
 }
 
 // NextVersion returns the version of an override that is set at a Unix time in ms. It is higher than all known versions.
-// It is at least the Unix time, since an older program compares overrides by that.
+// It is at least the Unix time, since that takes the place of the version in an override of an older program.
 func NextVersion(known map[string]Override, at balance.Millis) uint64 {
 	next := uint64(max(1, at))
 	for _, o := range known {
--- a/internal/hotrestart/override_test.go
+++ b/internal/hotrestart/override_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Records can be merged in any sequence with the same result, and changed is called for each override that the merge changes.
-func TestMergeInAnySequence(t *testing.T) {
+// Records can be merged in any order with the same result, and changed is called for each override that the merge changes.
+func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		record := rapid.MapOfN(rapid.SampledFrom([]string{"a", "b", "c"}), rapid.Custom(func(t *rapid.T) Override {
 			return Override{
@@ -65,6 +65,6 @@
 		t.Error("the age of an override without an uptime is not 0")
 	}
 	if a, b := Uptime(), Uptime(); a <= 0 || b < a {
-		t.Errorf("uptime %v, then %v", a, b)
+		t.Errorf("Uptime returns %v, then %v", a, b)
 	}
 }
--- a/internal/hotrestart/replace_test.go
+++ b/internal/hotrestart/replace_test.go
@@ -12,9 +12,9 @@
 
 var errKilled = errors.New("killed")
 
-// failingFiles is the file system of the operating system with one failing call.
+// failingFileSystem is the file system of the operating system with one failing call.
 // With errKilled all calls after it fail too, as if the process had been killed at that call.
-type failingFiles struct {
+type failingFileSystem struct {
 	OSFileSystem
 	failAt     int   // index of the failing call, counted from 0
 	err        error // error of the failing call
@@ -23,13 +23,13 @@
 }
 
 // fails counts a call and reports whether the call has to fail.
-func (f *failingFiles) fails() bool {
+func (f *failingFileSystem) fails() bool {
 	n := f.calls
 	f.calls++
 	return n == f.failAt || f.err == errKilled && n > f.failAt
 }
 
-func (f *failingFiles) Write(path string, text []byte) error {
+func (f *failingFileSystem) Write(path string, text []byte) error {
 	if f.fails() {
 		if f.writesHalf && f.calls-1 == f.failAt {
 			os.WriteFile(path, text[:len(text)/2], 0o600)
@@ -39,21 +39,21 @@
 	return f.OSFileSystem.Write(path, text)
 }
 
-func (f *failingFiles) Rename(from, to string) error {
+func (f *failingFileSystem) Rename(from, to string) error {
 	if f.fails() {
 		return f.err
 	}
 	return f.OSFileSystem.Rename(from, to)
 }
 
-func (f *failingFiles) Sync(directory string) error {
+func (f *failingFileSystem) Sync(directory string) error {
 	if f.fails() {
 		return f.err
 	}
 	return f.OSFileSystem.Sync(directory)
 }
 
-func (f *failingFiles) Remove(path string) error {
+func (f *failingFileSystem) Remove(path string) error {
 	if f.fails() {
 		return f.err
 	}
@@ -62,7 +62,7 @@
 
 // replacement is one case of TestReplacementIsAtomic.
 type replacement struct {
-	failingFiles
+	failingFileSystem
 	first bool // whether the process has not published a record before
 }
 
@@ -78,7 +78,7 @@
 		for _, writesHalf := range []bool{false, true} {
 			for _, first := range []bool{false, true} {
 				for failAt := 0; ; failAt++ {
-					r := replacement{failingFiles{failAt: failAt, err: err, writesHalf: writesHalf}, first}
+					r := replacement{failingFileSystem{failAt: failAt, err: err, writesHalf: writesHalf}, first}
 					r.check(t)
 					if r.calls <= failAt { // there is no further call that could fail
 						break
@@ -103,7 +103,7 @@
 	} else if err := writer.Publish(old, nil); err != nil {
 		t.Fatal(err)
 	}
-	writer.files = &r.failingFiles
+	writer.files = &r.failingFileSystem
 	err := writer.Publish(next, nil)
 	peers, _ := peer.Peers()
 	if len(peers.Live) != 1 || len(peers.Unreadable) != 0 {
--- a/internal/loop/io.go
+++ b/internal/loop/io.go
@@ -5,8 +5,8 @@
 // maxAcceptRetries is the maximum number of consecutive failures that one call of Accept ignores.
 const maxAcceptRetries = 16
 
-// Accept accepts an established connection. It returns unix.EAGAIN if there is none. It skips connections that their
-// clients have aborted and retries after transient failures, up to maxAcceptRetries times.
+// Accept accepts an established connection. It returns unix.EAGAIN if there is none. After any other error, such as
+// that of a connection that its client has aborted, it retries up to maxAcceptRetries times.
 func (l *Loop) Accept(fd int) (int, error) {
 	connection, err := l.Sockets.Accept(fd)
 	for retries := 0; err != nil && err != unix.EAGAIN && retries < maxAcceptRetries; retries++ {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// Now returns the time of the kernel's monotonic clock, in milliseconds.
+// Now returns the time of the kernel's monotonic clock, in milliseconds. With the kernel of package epoll it may be
+// called from any goroutine.
 func (l *Loop) Now() float64 { return l.kernel.Now() }
 
 // Wall returns the time of the wall clock, in milliseconds of Unix time, for comparison with times of other machines.
@@ -79,7 +80,8 @@
 	return l.Timers.Set(l.Now()+duration, do)
 }
 
-// Post runs a function on the loop. It is the only method that may be called from any goroutine.
+// Post runs a function on the loop. It may be called from any goroutine. All other methods, except Now, have to be called
+// on the goroutine of the loop.
 func (l *Loop) Post(do func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, do)
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -17,14 +17,14 @@
 		l.Post(l.Stop)
 	}()
 	if err := l.Run(); err != nil || calls != 10 {
-		t.Errorf("%v, %d posted functions ran", err, calls)
+		t.Errorf("Run returns %v, and %d posted functions ran, want 10", err, calls)
 	}
 }
 
 func TestClock(t *testing.T) {
 	l := newLoop(t)
 	if a, b := l.Now(), l.Now(); b < a || a < 1e12 {
-		t.Errorf("%v, then %v", a, b)
+		t.Errorf("Now returns %v, then %v", a, b)
 	}
 }
 
--- a/internal/loop/watch.go
+++ b/internal/loop/watch.go
@@ -19,7 +19,7 @@
 	handler     Handler // nil if the descriptor is not watched
 	generation  int32   // distinguishes events of a closed descriptor from those of a new one with the same number
 	events      uint32
-	prioritized bool    // its handler runs before those of all other descriptors
+	prioritized bool    // its handler runs before those of descriptors that are not prioritized
 	paused      bool    // no events are reported, not even errors
 	registered  bool    // the kernel watches the descriptor
 	unreadSince float64 // ms; the earliest time at which unread bytes may have been received, 0 if all bytes were read
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// Prioritize makes the handler of a descriptor run before those of all other descriptors that are ready in the same
-// turn.
+// Prioritize makes the handler of a descriptor run before those of all descriptors that are ready in the same turn and
+// are not prioritized.
 func (l *Loop) Prioritize(fd int) { l.watches[fd].prioritized = true }
 
 // Watch replaces the events that a descriptor is watched for, and ends a pause. It has no effect on a descriptor that
--- a/internal/loop/watch_test.go
+++ b/internal/loop/watch_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// The handler of a prioritized descriptor runs before all others, and all handlers run before timers. The balancer
-// relies on it to apply endpoint updates before it starts attempts in the same turn.
+// The handler of a prioritized descriptor runs before those of the others, and all handlers run before timers. The
+// balancer relies on it to apply endpoint updates before it starts attempts in the same turn.
 func TestPrioritize(t *testing.T) {
 	for range 5 {
 		l := newLoop(t)
--- a/internal/node/config_errors.go
+++ b/internal/node/config_errors.go
@@ -18,7 +18,7 @@
 type ConfigError struct {
 	File    string // path of the configuration file, "" if the text was not read from a file
 	Path    string // path of the invalid value, or name of an environment variable; "" if the text is not valid JSON
-	Value   string // value as written in the configuration, "" if it is missing or an object
+	Value   string // invalid value as it was read, "" if it is missing or Err describes it
 	Allowed string // form or range of the allowed values, "" if Err states it
 	Err     error  // cause, with the path and the value where a reader needs them
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -44,7 +44,7 @@
 	path := writeConfig(t, validConfig)
 	variables := map[string]string{"BALANCER_CONFIG": path, "BALANCER_ADMIN": "127.0.0.9:9", "BALANCER_LISTEN_FD": "7"}
 	if c, err := Load(environment(variables)); err != nil || c.Admin.String() != "127.0.0.9:9" || c.ListenFD != 7 {
-		t.Errorf("%+v %v", c, err)
+		t.Errorf("configuration %+v, error %v", c, err)
 	}
 	for _, fd := range []string{"0", "2", "-1", "x", "7.0"} {
 		variables["BALANCER_LISTEN_FD"] = fd
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// Close closes all sockets of the balancer and stops its timers, even if requests are in flight.
+// Close closes all sockets of the balancer and its hot restart store, even if requests are in flight. It logs the counters.
 func (n *Node) Close() {
 	if n.admin != nil {
 		n.admin.Close()
--- a/internal/shutdown/schedule.go
+++ b/internal/shutdown/schedule.go
@@ -21,10 +21,10 @@
 	writeAllowance balance.Millis = 50
 )
 
-// Preferred durations within the schedule, in ms. They are shortened if SIGKILL may come earlier.
+// Durations within the schedule, in ms. If SIGKILL may come early, closeIdleDelay and acceptDuration are shortened.
 const (
 	closeIdleDelay balance.Millis = 500 // time from the signal until idle connections are closed; clients may reuse them until then
-	acceptDuration balance.Millis = 650 // time from the signal in which connections are accepted; clients connect for 400 ms, the rest is for the kernel's queue
+	acceptDuration balance.Millis = 650 // time from the signal in which connections are accepted; clients open them for 400 ms, the rest is for the kernel's queue
 	minServiceTime balance.Millis = 50  // a request that arrives less than this time before RespondBy is rejected
 )
 
--- a/internal/shutdown/schedule_test.go
+++ b/internal/shutdown/schedule_test.go
@@ -69,7 +69,7 @@
 		stall := rapid.Float64Range(0, 150).Draw(t, "stall before the response is written")
 		deadline := s.LimitDeadline(completeAt + remaining)
 		if deadline < completeAt && remaining > 0 {
-			t.Fatalf("a request of %v gets the earlier deadline %v", completeAt, deadline)
+			t.Fatalf("a request that is complete at %v gets the earlier deadline %v", completeAt, deadline)
 		}
 		if writtenAt := deadline + stall; writtenAt >= scenario.killAt(longest) {
 			t.Fatalf("a response is written at %v, but SIGKILL may come at %v", writtenAt, scenario.killAt(longest))
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// leadsToCurrentProcess reports whether the upstream is listed and has not restarted since the connection was opened.
+// leadsToCurrentProcess reports whether the upstream is listed, and still has the address and the process that the
+// connection was opened to.
 func (c *conn) leadsToCurrentProcess() bool {
 	return !c.endpoint.removed && c.endpoint.process == c.process
 }
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -113,8 +113,8 @@
 }
 
 // pendingConnect is an attempt whose connect failed with a local error. It keeps the descriptor that it has acquired
-// from the quota. The connect is retried until the connect timeout has passed. Then the attempt ends as not sent, which
-// is not a failure of the upstream.
+// from the quota. The connect is retried until the connect timeout has passed. Then the attempt ends with the outcome
+// ConnectFailed if the upstream is unreachable. Otherwise it ends with NotSent, which is not a failure of the upstream.
 type pendingConnect struct {
 	pool     *Pool
 	endpoint *endpoint
--- a/internal/upstream/counters.go
+++ b/internal/upstream/counters.go
@@ -7,12 +7,12 @@
 	connectionsOpened       *counter.Counter
 	connectionsReused       *counter.Counter
 	connectionsShed         *counter.Counter // idle connections that were closed to free their descriptor
-	connectionsIdleClosed   *counter.Counter // idle connections that the balancer closed, but not to free a descriptor
+	connectionsIdleClosed   *counter.Counter // idle connections that were closed at a timeout, endpoint change or shutdown
 	connectionsClosedByPeer *counter.Counter // idle connections that the upstream closed or sent unrequested bytes on
 	connectFailed           *counter.Counter
 	connectTimedOut         *counter.Counter
 	noDescriptor            *counter.Counter // attempts that were not sent because no descriptor was free
-	localFailures           *counter.Counter // connects that failed with a local error, each retry included
+	localFailures           *counter.Counter // connects that failed with a local error, after which a retry was scheduled
 	responsesMalformed      *counter.Counter
 	responsesStreamed       *counter.Counter
 	extraResponses          *counter.Counter // idle connections that were closed because of unrequested bytes
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -74,7 +74,7 @@
 			if got := r.checkOutcome(a, name, balance.OK); string(got.Body) != "ok" {
 				t.Errorf("%s: body %q", name, got.Body)
 			}
-			r.passReuseDelay()
+			r.expireReuseDelay()
 		}
 	}
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -77,7 +77,7 @@
 	return r
 }
 
-// newExchange returns an exchange whose request is of an idempotent class.
+// newExchange returns an exchange whose request has no body and is of the class "read".
 func (r *rig) newExchange() *exchange.Exchange {
 	return exchange.New(r, &http1.Request{Method: "GET", Target: "/read/x", ID: "78", Class: "read"})
 }
@@ -125,8 +125,8 @@
 	r.pool.idle.Front().Value.(*conn).idle.since = r.Loop.Now() - ms
 }
 
-// passReuseDelay makes all idle connections reusable, as if the reuse delay had passed.
-func (r *rig) passReuseDelay() {
+// expireReuseDelay makes all idle connections reusable, as if the reuse delay had passed.
+func (r *rig) expireReuseDelay() {
 	r.Do(func() {
 		for e := r.pool.idle.Front(); e != nil; e = e.Next() {
 			e.Value.(*conn).idle.since -= r.pool.reuseDelay
--- a/internal/upstream/idle_test.go
+++ b/internal/upstream/idle_test.go
@@ -52,7 +52,7 @@
 	r := newRig(t, manyDescriptors)
 	u := newUpstream(t, r)
 	c := r.serve(u, emptyResponse)
-	r.passReuseDelay()
+	r.expireReuseDelay()
 	x := r.newExchange()
 	var a *exchange.Attempt
 	r.Do(func() {
@@ -106,7 +106,7 @@
 	}
 	c := second
 	for _, extra := range []string{oldResponse, "noise", "HTTP/1.1 100 Continue\r\n\r\n"} { // sent together with the response
-		r.passReuseDelay()
+		r.expireReuseDelay()
 		a := r.start("z")
 		c.request()
 		c.respond(oldResponse + extra)
--- a/internal/upstream/outcome_test.go
+++ b/internal/upstream/outcome_test.go
@@ -102,7 +102,7 @@
 		if !tt.reused {
 			continue
 		}
-		r.passReuseDelay()
+		r.expireReuseDelay()
 		second := r.start("again")
 		c.request()
 		c.respond(tt.response)
@@ -117,7 +117,7 @@
 	a := r.start("x")
 	u.accept().respond("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nX-Pressure: inflight=7,queue=2\r\nContent-Length: 0\r\n\r\n")
 	if got := r.result(a); !got.LoadReported || got.ReportedInFlight != 7 {
-		t.Errorf("%+v", got)
+		t.Errorf("result %+v, want a load report of 7 requests in flight", got)
 	}
 }
 
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -23,7 +23,8 @@
 func (w *requestWriter) sent() bool { return len(w.buffered) == 0 && w.body == nil }
 
 // sendHeader starts to send the request on an established connection. The remaining time in the request is computed
-// here, as connecting may have taken some time.
+// here, as connecting may have taken some time. While the client is still sending the body, the timeout of the attempt
+// has not started, and the remaining time is the one that the client has sent.
 func (c *conn) sendHeader() {
 	req := requestOf(c.attempt)
 	remaining := c.attempt.TimeoutAt - c.pool.loop.Now()
--- a/internal/upstream/stream_test.go
+++ b/internal/upstream/stream_test.go
@@ -98,9 +98,9 @@
 	return x, stream
 }
 
-// passStallTimeout waits until a request or response is stalled, and then runs the timers as if the stall timeout had
+// expireStallTimeout waits until a request or response is stalled, and then runs the timers as if the stall timeout had
 // passed.
-func (r *rig) passStallTimeout(a *exchange.Attempt, isStalled func(*conn) bool) {
+func (r *rig) expireStallTimeout(a *exchange.Attempt, isStalled func(*conn) bool) {
 	for stalled := false; !stalled; time.Sleep(time.Millisecond) {
 		r.Do(func() {
 			c := r.pool.active[a]
@@ -133,7 +133,7 @@
 			stream := <-r.streams
 			r.Do(func() { stream.Consume(3) })
 		}
-		r.passStallTimeout(a, func(c *conn) bool {
+		r.expireStallTimeout(a, func(c *conn) bool {
 			return tt.response != "" || len(c.request.buffered) == 0 && len(body.Peek()) < tt.bodySize
 		})
 		if tt.want != balance.OK {
