--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -5,7 +5,8 @@
 	"os"
 )
 
-// FileSystem is the file system on which records are written. Tests replace it to make calls fail or to simulate a kill at any call.
+// FileSystem is the file system on which records are written.
+// Tests and the fault layer replace it to make calls fail, and tests also to simulate a kill at any call.
 type FileSystem interface {
 	// Write creates or overwrites a file, and returns once its content is on stable storage.
 	Write(path string, text []byte) error
--- a/internal/node/resources.go
+++ b/internal/node/resources.go
@@ -27,7 +27,7 @@
 // resources are the limits of the components of a balancer.
 type resources struct {
 	connections         int // connections to clients and upstreams together
-	overflowConnections int // additional client connections, whose requests are rejected
+	overflowConnections int // additional client connections, whose requests are rejected unless another descriptor becomes free
 	adminDescriptors    int // descriptors of the admin server, 0 if there is none
 	bodyBuffers         int // buffers of streamed bodies
 }
