--- a/cmd/salttrack-sim/kinds.go
+++ b/cmd/salttrack-sim/kinds.go
@@ -8,7 +8,7 @@
 	"salttrack/internal/simulation/scenario"
 )
 
-// targetFormats has the format of Fault.Target for each kind of target, as the command prints it.
+// targetFormats has the format of Fault.Target for each kind of target, as the kinds command prints it.
 var targetFormats = map[scenario.TargetKind]string{
 	scenario.NoTarget:       "",
 	scenario.UpstreamTarget: "upstream",
--- a/cmd/salttrack-sim/main_test.go
+++ b/cmd/salttrack-sim/main_test.go
@@ -130,7 +130,7 @@
 		}
 		result := cluster.Play(s, cluster.Options{})
 		if len(result.Violations) > 0 || result.Counts.Served*10 < result.Counts.Requests*9 {
-			t.Errorf("%s: %+v", file, result)
+			t.Errorf("%s: %+v, want no violations and at least 90%% of the requests served", file, result)
 		}
 	}
 }
--- a/cmd/salttrack-sim/real.go
+++ b/cmd/salttrack-sim/real.go
@@ -22,7 +22,8 @@
 		Short: "Run a scenario with real processes on loopback sockets, and compare it with a virtual run",
 		Long: `Real runs a scenario twice: on the virtual network, and in real time with processes of the balancer's program on
 loopback addresses. It shows the results of both runs, and the CPU time of the real balancers.
-Faults of the network and of CPUs can be simulated on the virtual network only.`,
+Faults of the network, of balancers and of discovery, and some faults of upstreams, are supported on the virtual
+network only.`,
 		Example: `  salttrack-sim real deploy/lab/calm.toml --program bin/salttrack`,
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -26,8 +26,8 @@
 	codeSpan     = regexp.MustCompile("`([^`]+)`")
 )
 
-// TestLinks checks that the targets of relative links in Markdown files exist, and that the pages below docs exist that
-// Markdown, Go and TOML files mention.
+// TestLinks checks that the targets of relative links in Markdown files exist.
+// It also checks that each page below docs that a Markdown, Go or TOML file mentions exists.
 func TestLinks(t *testing.T) {
 	for _, file := range trackedFiles(t) {
 		switch filepath.Ext(file) {
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestPurePackages checks the packages that the architecture page lists as free of I/O and clocks: they import no
-// package that does I/O or reads a clock.
+// TestPurePackages checks that the packages that the architecture page lists as free of I/O and clocks do not directly
+// import any package of a list of packages that do I/O or read a clock.
 func TestPurePackages(t *testing.T) {
 	forbidden := []string{"net", "os", "syscall", "golang.org/x/sys/unix", "os/signal", "io/fs", "time"}
 	pure := sectionSpans(t, "## Packages without I/O")
--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -1,6 +1,7 @@
 // Package checker checks a run of the simulator against the rules that package names lists.
-// The checks use only the records of the fake clients, upstreams and discovery agents.
-// The only data that a balancer itself reports are its counters, which are compared with these records.
+// The checks use the records of the fake clients, upstreams and discovery agents.
+// A balancer itself reports only its counters, which are compared with these records, and its confirmation of an override
+// that disables an upstream.
 // All times are in milliseconds.
 package checker
 
@@ -62,7 +63,8 @@
 	attempts    int     // attempts that upstreams received
 }
 
-// endpointKey identifies the state of one upstream at one balancer process. Both names are needed because each process is informed separately.
+// endpointKey identifies the state of one upstream at one balancer process.
+// Each process has its own state, because discovery and operators inform each process separately.
 type endpointKey struct{ balancer, upstream string }
 
 // Checker records the events of one run and checks them. It implements fake.Recorder.
@@ -77,7 +79,7 @@
 	requests       map[string]*request       // by request ID
 	producedBodies map[string][]string       // response bodies of upstreams, by request ID
 	executionSites map[string][]string       // upstream and zone of each execution, by root ID of a non-idempotent request or by idempotency key
-	drainingSince  map[endpointKey]float64   // time of the first update that reported the upstream as terminating or terminated
+	drainingSince  map[endpointKey]float64   // time of the first update since the last in_service that reported another phase
 	disabledSince  map[endpointKey]float64   // time at which the balancer confirmed that it disabled the upstream
 	announcedStart map[endpointKey]float64   // start time of the upstream in the last update that the balancer got
 	recentAttempts map[string][]fake.Attempt // by upstream
@@ -91,7 +93,7 @@
 	Rejected           int `json:"Refused"`
 	Failed             int
 	NoResponse         int `json:"NoAnswer"`
-	Exempt             int `json:"Excused"` // requests without a response that violate no rule, for example because the balancer was killed
+	Exempt             int `json:"Excused"` // requests whose lost connection or timeout is excused, for example because the balancer was killed
 	Attempts           int
 	Executed           int `json:"Ran"`
 	Duplicates         int `json:"Repeated"` // requests that upstreams dropped because they had executed the idempotency key
@@ -154,7 +156,8 @@
 	return max(r.Deadline, resumed) + c.limits.ToleranceMS + c.environment.MaxTransitMS(r.Balancer, r.Client)
 }
 
-// exempt reports whether the balancer of a request was killed, or unreachable from the client, between the sending of the request and the time at.
+// exempt reports whether the balancer of a request was killed, or unreachable from the client, at some time between
+// the sending of the request and the time at.
 func (c *Checker) exempt(r *request, at float64) bool {
 	return c.environment.Exempt(r.Balancer, r.Client, r.SentAt, at)
 }
--- a/internal/simulation/checker/clients.go
+++ b/internal/simulation/checker/clients.go
@@ -8,7 +8,8 @@
 	"salttrack/internal/simulation/names"
 )
 
-// malformedInputTimeout is the time in ms within which a balancer has to reject malformed input or close its connection.
+// malformedInputTimeout is the time in ms after which a balancer must have rejected malformed input or closed its
+// connection. The check applies only if the balancer had done neither when the client stopped waiting.
 const malformedInputTimeout = 3000.0
 
 // RequestSent adds a request. If the client sent the same request again on another connection, its existing record is updated.
@@ -76,14 +77,16 @@
 		r.status, r.Balancer, r.respondedAt-r.Deadline)
 }
 
-// ExtraBytesReceived reports bytes that a client received but that belong to no response.
+// ExtraBytesReceived reports bytes that a client received and that belong to no valid response.
 func (c *Checker) ExtraBytesReceived(balancer string, data []byte) {
-	c.Report(names.ExtraResponse, c.limits.StartedAt, "%s sent %.60q without a request", balancer, data)
+	c.Report(names.ExtraResponse, c.limits.StartedAt, "%s sent %.60q, which belongs to no valid response", balancer, data)
 }
 
 // ConnectionLost checks a request whose connection was closed before its complete response.
-// The loss is allowed if the balancer made no attempt for the request and may have closed the connection while the request was in transit.
+// The loss is allowed if the balancer made no attempt for the request, and may have closed the connection while the
+// request was in transit.
 // That is possible if the connection had served a request before, or if the request was pipelined.
+// The loss is also allowed if the balancer was killed or unreachable.
 func (c *Checker) ConnectionLost(loss fake.ConnectionLoss) {
 	r := c.requests[loss.RequestID]
 	c.countNoResponse(r)
@@ -106,7 +109,8 @@
 }
 
 // ResponseTimedOut checks a request whose client stopped waiting for the response.
-// The timeout is a violation unless the balancer is exempt, the response was not due yet, or the client pipelined the request or reads slowly.
+// The timeout is a violation unless the balancer was killed or unreachable, the response was not due yet, or the client
+// pipelined the request or reads slowly.
 func (c *Checker) ResponseTimedOut(requestID string, at float64) {
 	r := c.requests[requestID]
 	c.countNoResponse(r)
@@ -124,7 +128,10 @@
 	c.countsOf(r.Balancer).noResponse++
 }
 
-// MalformedInputHandled checks that a balancer rejected malformed input or closed its connection within malformedInputTimeout.
+// MalformedInputHandled checks that a balancer did not serve malformed input.
+// It also checks that the balancer rejected the input or closed the connection before the client stopped waiting.
+// It is no violation if the client stopped waiting within malformedInputTimeout, or before the end of a stall.
+// A balancer that was killed or unreachable is exempt from the second check.
 func (c *Checker) MalformedInputHandled(result fake.MalformedInputResult) {
 	c.Counts.MalformedInputs++
 	if result.Status >= http.StatusOK && result.Status < http.StatusBadRequest {
--- a/internal/simulation/checker/counters.go
+++ b/internal/simulation/checker/counters.go
@@ -7,7 +7,7 @@
 	counterAccepted         = "requests_accepted"
 	counterServed           = "requests_served"
 	counterRejected         = "requests_rejected"
-	counterRejectedOverflow = "client_overflow_rejected" // connections above the connection limit; the balancer rejects them without reading a request
+	counterRejectedOverflow = "client_overflow_rejected" // requests on connections above the connection limit; not included in requests_rejected
 	counterFailed           = "requests_failed"
 	counterAbandoned        = "requests_abandoned"
 	counterInProgress       = "requests_in_progress"
--- a/internal/simulation/checker/discovery.go
+++ b/internal/simulation/checker/discovery.go
@@ -4,6 +4,7 @@
 
 // EndpointUpdateSent records an endpoint update that discovery sent to a balancer.
 // The grace period of a draining upstream starts at the first update that reports it as terminating or terminated.
+// An update that reports it as in service ends the draining.
 func (c *Checker) EndpointUpdateSent(update fake.EndpointUpdate) {
 	key := endpointKey{update.Balancer, update.Upstream}
 	c.announcedStart[key] = update.StartedAt
--- a/internal/simulation/checker/upstreams.go
+++ b/internal/simulation/checker/upstreams.go
@@ -20,7 +20,8 @@
 )
 
 // AttemptReceived records an attempt that an upstream received.
-// It checks that the attempt is well-formed, that a client sent its request, and that the balancer was allowed to make the attempt.
+// It checks that the attempt is well-formed, that a client sent its request, and that the balancer was allowed to make
+// the attempt.
 func (c *Checker) AttemptReceived(attempt fake.Attempt) {
 	if attempt.Malformed {
 		c.Report(names.MalformedRequest, attempt.FirstByteAt, "%s sent %s a request that can't be parsed", attempt.Balancer,
@@ -56,7 +57,8 @@
 	c.recentAttempts[attempt.Upstream] = list
 }
 
-// checkUpstreamAvailable checks that the upstream of an attempt was not draining or disabled, as far as the balancer had been informed.
+// checkUpstreamAvailable checks that the upstream of an attempt was not draining or disabled, as far as the balancer
+// had been informed.
 func (c *Checker) checkUpstreamAvailable(attempt fake.Attempt) {
 	key := endpointKey{attempt.Balancer, attempt.Upstream}
 	sentAt := attempt.FirstByteAt
@@ -86,7 +88,8 @@
 	}
 }
 
-// checkNotCancelledBefore checks that an attempt did not begin after the balancer learned that the client had cancelled the request.
+// checkNotCancelledBefore checks that an attempt did not begin after the balancer learned that the client had
+// cancelled the request. It checks nothing if the recorded times are not exact.
 // The balancer learns of the cancellation after the longest transit time, or at the end of a stall if that is later.
 func (c *Checker) checkNotCancelledBefore(r *request, attempt fake.Attempt) {
 	if r.cancelledAt == 0 || !c.limits.ExactTimes {
@@ -140,7 +143,8 @@
 }
 
 // WarmingUpstreamCrashed handles the crash of an overloaded upstream that was warming up.
-// The crash is a violation if at least three quarters of the recent attempts came from balancers that were informed of the upstream's start.
+// The crash is a violation if at least three quarters of the recent attempts since the upstream's start came from
+// balancers that were informed of the start.
 // Otherwise the crash is only counted, because the other balancers could not know that the upstream was warming up.
 func (c *Checker) WarmingUpstreamCrashed(upstream string, startedAt, at float64) {
 	informed, uninformed := 0, 0
--- a/internal/simulation/cluster/balancer.go
+++ b/internal/simulation/cluster/balancer.go
@@ -90,7 +90,7 @@
 		Lag:      rng.Between(minAgentLag, maxAgentLag),
 	}, b.agentAddr)
 	if err != nil {
-		panic(err) // only on loopback sockets, if another run on this machine uses the same address
+		panic(err) // possible on loopback sockets only, for example if another process uses the address
 	}
 	b.agent = agent
 }
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/simulation/cluster/cluster.go
@@ -1,4 +1,4 @@
-// Package cluster runs a scenario: it builds the cluster, plays the faults, and checks the recorded events.
+// Package cluster runs a scenario: it builds the cluster, injects the faults, and has package checker check the run.
 // The cluster runs on the virtual network or on loopback sockets.
 // All times are in milliseconds.
 package cluster
@@ -28,8 +28,8 @@
 	checker     *checker.Checker
 
 	classes        []class
-	loadStart      float64 // time from which on clients send requests
-	loadEnd        float64 // time from which on clients send no new requests
+	loadStart      float64 // time at which the clients begin to send requests
+	loadEnd        float64 // time at which the clients stop sending new requests
 	tiers          []*tier
 	balancers      []*balancer
 	balancerPools  []*fake.BalancerPool // one for each zone
@@ -72,7 +72,8 @@
 	return limits
 }
 
-// build starts all processes and schedules the faults. The sequence of the calls enters the hash of the run and must not change.
+// build starts all processes and schedules the faults.
+// The hash of a run depends on the sequence of the calls, so the sequence must not change.
 func (c *cluster) build() {
 	s := &c.scenario.Cluster
 	for i := range s.Tiers {
--- a/internal/simulation/cluster/cluster_test.go
+++ b/internal/simulation/cluster/cluster_test.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// Runs all scenarios in testdata. Each of them once violated a rule because of a fault in the code and must not violate any rule now.
-// The description in each scenario says what was wrong.
+// TestRegressions runs all scenarios in testdata.
+// Each of them once violated a rule because of a fault in the code, and must not violate any rule now.
+// The description in each scenario states what was wrong.
 func TestRegressions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) == 0 {
@@ -45,8 +46,8 @@
 	}
 }
 
-// Two runs of a scenario must have the same hash and the same trace. A run without a trace must have this hash too.
-// A scenario of another seed must have another hash.
+// TestDeterminism checks that two runs of a scenario have the same hash and the same trace, and that a run without a
+// trace has this hash too. A scenario of another seed must have another hash.
 func TestDeterminism(t *testing.T) {
 	s := scenario.Generate(7, scenario.Options{Seconds: 5})
 	var traces [2]strings.Builder
@@ -93,7 +94,8 @@
 	return with, without
 }
 
-// Runs one fault of each type alone. The run must violate no rule, and its hash must differ from the run without the fault.
+// TestEachFaultType runs a scenario with a single fault for each fault type.
+// The run must violate no rule, and its hash must differ from that of the run without the fault.
 func TestEachFaultType(t *testing.T) {
 	for _, spec := range scenario.FaultSpecs {
 		t.Run(string(spec.Name), func(t *testing.T) {
@@ -107,13 +109,14 @@
 				t.Error("the fault has no effect")
 			}
 			if faulty.Counts.Requests < 100 || faulty.Counts.Served == 0 {
-				t.Errorf("%+v", faulty.Counts)
+				t.Errorf("counts %+v, want at least 100 requests, some of them served", faulty.Counts)
 			}
 		})
 	}
 }
 
-// Runs a cluster of three tiers. The upstreams of the first two tiers call the next tier, each through its own balancer.
+// TestTiers runs a cluster of three tiers, and checks that no request fails and that the calls reach all tiers.
+// The upstreams of the first two tiers call the next tier, each through its own balancer.
 func TestTiers(t *testing.T) {
 	s := scenario.Generate(3, scenario.Options{Seconds: 5})
 	s.Faults = nil
@@ -124,14 +127,15 @@
 	s.Cluster.ServiceTimeMS = 5
 	result := Play(s, Options{})
 	if len(result.Violations) > 0 {
-		t.Error(result.Violations)
+		t.Errorf("violations: %v", result.Violations)
 	}
 	counts := result.Counts
-	// Each request of a client causes two nested calls to the second tier, and each of these two calls to the third tier.
+	// Each request of a client causes two calls to the second tier.
+	// Each of these calls causes two calls to the third tier.
 	// So one of seven counted requests comes from a client.
 	fromClients := counts.Requests - counts.Requests*6/7
 	if counts.Failed > 0 || counts.Executed < fromClients*6 {
-		t.Errorf("%+v", counts)
+		t.Errorf("counts %+v, want no failed requests and at least %d executions", counts, fromClients*6)
 	}
 }
 
--- a/internal/simulation/cluster/environment.go
+++ b/internal/simulation/cluster/environment.go
@@ -9,7 +9,8 @@
 type environment interface {
 	// now returns the current time in ms.
 	now() float64
-	// schedule calls callback at the given time, while no event loop runs. The name determines the sequence of events of the same time.
+	// schedule calls callback at the given time, while no event loop runs.
+	// On the virtual network the name determines the order of events at the same time.
 	schedule(at float64, name string, callback func())
 	// spawn returns a host for fakes. The host does not run before start.
 	spawn(name, machine, zone string) host
--- a/internal/simulation/cluster/fault.go
+++ b/internal/simulation/cluster/fault.go
@@ -96,7 +96,7 @@
 func (f *activeFault) begin() {
 	effect, ok := faultEffects[f.Type]
 	if !ok {
-		panic(fmt.Sprintf("fault type %s has no effect function", f.Type))
+		panic(fmt.Sprintf("fault type %s is missing in faultEffects", f.Type))
 	}
 	if end := effect.begin(f); end != nil {
 		f.cluster.environment.schedule(f.endsAt, names.FaultEnd+f.ID, end)
@@ -106,15 +106,16 @@
 // duration returns the duration of the fault in ms.
 func (f *activeFault) duration() float64 { return f.endsAt - f.startsAt }
 
-// after calls callback after the given number of ms. The name determines the sequence of events of the same time.
+// after calls callback after the given number of ms. The name and the ID of the fault determine the order of
+// events at the same time.
 func (f *activeFault) after(ms float64, name string, callback func()) {
 	f.cluster.environment.schedule(f.cluster.now()+ms, name+"/"+f.ID, callback)
 }
 
-// network returns the virtual network. Only fault types that can't be played on loopback sockets use it.
+// network returns the virtual network. Only fault types that loopback sockets do not support use it.
 func (f *activeFault) network() *simnet.Network { return f.cluster.environment.network() }
 
-// virtual returns the virtual environment. Only fault types that can't be played on loopback sockets use it.
+// virtual returns the virtual environment. Only fault types that loopback sockets do not support use it.
 func (f *activeFault) virtual() *virtualEnvironment {
 	return f.cluster.environment.(*virtualEnvironment)
 }
--- a/internal/simulation/cluster/fault_balancers.go
+++ b/internal/simulation/cluster/fault_balancers.go
@@ -75,7 +75,7 @@
 
 // systemCallFault makes system calls of a balancer's process fail.
 type systemCallFault struct {
-	// rules returns the rules for a fraction of failing calls. The fraction is the size of the fault.
+	// rules returns the rules under which a fraction of the calls fails. The fraction is the size of the fault.
 	rules func(fraction float64) []faultinject.Rule
 }
 
@@ -88,7 +88,7 @@
 	return func() { kernel.SetRules(nil) }
 }
 
-// shortReadsAndWrites returns rules by which the given fraction of the reads and writes transfers one byte.
+// shortReadsAndWrites returns rules by which the given fraction of the reads and writes transfers at most one byte.
 func shortReadsAndWrites(fraction float64) []faultinject.Rule {
 	return []faultinject.Rule{
 		{Call: faultinject.Read, Errno: faultinject.Short, Fraction: fraction},
@@ -97,7 +97,8 @@
 }
 
 // exhaustedResources returns rules by which calls fail for lack of descriptors, memory or ports, or because of the network.
-// The errors are those that Linux documents for each call. Each rule fails the given fraction of the calls, or a half or a quarter of it.
+// The errors are those that Linux documents for each call.
+// Each rule applies to the given fraction of the calls that no earlier rule fails, or to a half or a quarter of it.
 func exhaustedResources(fraction float64) []faultinject.Rule {
 	return []faultinject.Rule{
 		{Call: faultinject.Accept, Errno: unix.ENFILE, Fraction: fraction},
--- a/internal/simulation/cluster/fault_discovery.go
+++ b/internal/simulation/cluster/fault_discovery.go
@@ -36,7 +36,8 @@
 
 func stopDuplicates(agent *fake.Agent) { agent.DuplicateUpdates = false }
 
-// muteAgent stops all messages of discovery to a balancer. At the end of the fault the agent sends the changes that were held back.
+// muteAgent stops all messages of discovery to a balancer.
+// At the end of the fault the agent sends the changes that it did not send during the fault.
 func muteAgent(f *activeFault) func() {
 	b := f.balancer()
 	b.agent.Muted = true
--- a/internal/simulation/cluster/fault_network.go
+++ b/internal/simulation/cluster/fault_network.go
@@ -2,7 +2,8 @@
 
 import "salttrack/internal/simulation/simnet"
 
-// partition is a network partition between two zones. The field onHeal selects whether open connections are resumed or reset at its end.
+// partition is a network partition between two zones.
+// The field onHeal selects whether the connections that it stopped are resumed or reset at its end.
 type partition struct{ onHeal simnet.HealMode }
 
 func (p partition) begin(f *activeFault) func() {
@@ -18,13 +19,15 @@
 	return func() { f.network().SetLatencyFactor(a, b, 1) }
 }
 
-// fragmentWrites makes the network split writes into small segments. The size of the fault is the fraction of the writes.
+// fragmentWrites makes the network split a fraction of the writes into segments of random sizes.
+// The size of the fault is this fraction.
 func fragmentWrites(f *activeFault) func() {
 	f.network().SetFragmentation(f.Size)
 	return func() { f.network().SetFragmentation(0) }
 }
 
-// stepClock steps the wall clock of all machines by the size of the fault, in seconds. At the end of the fault it undoes the step.
+// stepClock steps the wall clock of all machines by the size of the fault, in seconds.
+// At the end of the fault it undoes the step.
 func stepClock(f *activeFault) func() {
 	step := f.Size * 1000
 	f.network().StepClock(step)
--- a/internal/simulation/cluster/fault_replicas.go
+++ b/internal/simulation/cluster/fault_replicas.go
@@ -28,7 +28,8 @@
 	return r.restart
 }
 
-// isolateUpstream makes an upstream's machine unreachable. At the end of the fault the machine is reachable and the upstream restarts.
+// isolateUpstream makes an upstream's machine unreachable.
+// At the end of the fault the machine is reachable again and the upstream restarts.
 func isolateUpstream(f *activeFault) func() {
 	r := f.replica()
 	f.network().Isolate(r.machine)
@@ -106,7 +107,8 @@
 }
 
 // deploy drains one replica of a rolling deploy and then starts a new one at its address.
-// If the replica crashes or restarts while it drains, no new one is started. The parameter interval is the time in ms until the next replica.
+// If the replica crashes or restarts while it drains, no new one is started.
+// The parameter interval is the time in ms until the next replica begins to drain.
 func (f *activeFault) deploy(r *replica, position int, interval float64) {
 	if r.down {
 		return
--- a/internal/simulation/cluster/loopback_balancer.go
+++ b/internal/simulation/cluster/loopback_balancer.go
@@ -44,7 +44,7 @@
 }
 
 // onBalancerExit handles the exit of a balancer process: it calls onExit for status 0 and adds an error for another status.
-// The end of a process by a signal is neither, because the simulator sends SIGKILL itself.
+// It does neither if a signal ended the process, because the simulator itself sends SIGKILL.
 func (e *loopbackEnvironment) onBalancerExit(name string, state *os.ProcessState, err error, onExit func(exitState)) {
 	e.cpuTime += state.UserTime() + state.SystemTime()
 	if err == nil {
--- a/internal/simulation/cluster/loopback_host.go
+++ b/internal/simulation/cluster/loopback_host.go
@@ -57,7 +57,8 @@
 	h.Kernel.Close(fd)
 }
 
-// Wait waits for readiness events for at most ms milliseconds. It releases the environment's mutex meanwhile, so other loops can run.
+// Wait waits for readiness events for at most ms milliseconds.
+// It releases the environment's mutex during the wait, so that other loops can run.
 func (h *loopbackHost) Wait(into []loop.Event, ms int) (int, error) {
 	h.environment.mu.Unlock()
 	n, err := h.Kernel.Wait(into, ms)
@@ -65,7 +66,8 @@
 	return n, err
 }
 
-// Kill closes all descriptors, which resets the connections, and stops the event loop. Peers see the same as if a process was killed.
+// Kill closes all descriptors, which resets the connections, and stops the event loop.
+// To the peers this looks as if the process had been killed.
 func (h *loopbackHost) Kill() {
 	for fd := range h.open {
 		unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
--- a/internal/simulation/cluster/loopback_test.go
+++ b/internal/simulation/cluster/loopback_test.go
@@ -20,8 +20,8 @@
 	return program
 }
 
-// Runs a scenario with error responses on loopback sockets, with processes of the real program.
-// The run must violate no rule, and each request must get a response.
+// TestPlayLoopback runs a scenario with error responses on loopback sockets, with processes of the real program.
+// The run must violate no rule, each request must get a response, and at least half of the requests must be served.
 func TestPlayLoopback(t *testing.T) {
 	s := scenario.Generate(1, scenario.Options{Seconds: 2})
 	s.Cluster.Tiers = 1
@@ -45,7 +45,8 @@
 	}
 }
 
-// A scenario with a network partition can't run on loopback sockets. The error must name the fault and its type.
+// TestUnsupportedFault checks that a scenario with a network partition can't run on loopback sockets.
+// The error must name the fault and its type.
 func TestUnsupportedFault(t *testing.T) {
 	s := scenario.Generate(1, scenario.Options{Seconds: 2})
 	s.Faults = []scenario.Fault{
--- a/internal/simulation/cluster/play.go
+++ b/internal/simulation/cluster/play.go
@@ -43,7 +43,7 @@
 
 // Options are the outputs of a run, which have no effect on the run itself.
 type Options struct {
-	Trace io.Writer // receives a line for each event on the virtual network; nil for no trace
+	Trace io.Writer // receives a line for each delivered segment, refused connection and killed process; nil for no trace
 	Log   io.Writer // receives the logs of the balancers; nil for no logs
 }
 
@@ -104,7 +104,7 @@
 	}
 }
 
-// maxStackLines is the number of stack frames that the violation of a panic names.
+// maxStackLines is the maximum number of functions that the violation text of a panic lists.
 const maxStackLines = 6
 
 // panicStack returns the innermost functions of this project on the stack of the current panic, one per line.
--- a/internal/simulation/cluster/play_loopback.go
+++ b/internal/simulation/cluster/play_loopback.go
@@ -11,11 +11,11 @@
 type LoopbackResult struct {
 	Result
 	CPUSeconds          float64  `json:"cpu_seconds"`        // CPU time of all balancer processes
-	CPUMicrosPerRequest float64  `json:"cpu_us_per_request"` // CPU time of the balancers in microseconds, divided by the requests of clients
+	CPUMicrosPerRequest float64  `json:"cpu_us_per_request"` // CPU time of the balancers in microseconds, divided by the number of requests
 	EnvironmentErrors   []string `json:"faults,omitempty"`   // errors of event loops, and exits of balancers with an error status
 }
 
-// UnsupportedFaultError is the error for a fault that can't be played on loopback sockets.
+// UnsupportedFaultError is the error for a fault whose type loopback sockets do not support.
 type UnsupportedFaultError struct {
 	ID   string
 	Type names.FaultType
@@ -23,7 +23,7 @@
 
 // Error returns a message with the ID and the type of the fault.
 func (e *UnsupportedFaultError) Error() string {
-	return fmt.Sprintf("fault %s: type %s can be played on the virtual network only", e.ID, e.Type)
+	return fmt.Sprintf("fault %s: type %s is supported on the virtual network only", e.ID, e.Type)
 }
 
 // PlayLoopback runs a scenario in real time on loopback sockets. Each balancer is a process of the given program.
@@ -57,7 +57,7 @@
 	return c.loopbackResult(e, startedAt), nil
 }
 
-// withLock calls a function with the mutex locked, so that no event loop runs meanwhile.
+// withLock calls a function while it holds the mutex, so that no event loop runs during the call.
 func (e *loopbackEnvironment) withLock(call func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/simulation/cluster/replica.go
+++ b/internal/simulation/cluster/replica.go
@@ -92,7 +92,7 @@
 	}
 	upstream, err := fake.NewUpstream(options)
 	if err != nil {
-		panic(err) // only on loopback sockets, if another run on this machine uses the same address
+		panic(err) // possible on loopback sockets only, for example if another process uses the address
 	}
 	r.upstream = upstream
 	r.cluster.environment.start(r.host)
--- a/internal/simulation/fake/client.go
+++ b/internal/simulation/fake/client.go
@@ -7,7 +7,8 @@
 )
 
 // client sends calls to balancers and keeps idle connections for later calls.
-// A connection is closed when its balancer closes it, when it breaks, or when a call on it is cancelled.
+// It closes a connection when the balancer closes it or sends invalid data, on an I/O error, and when a call on it is
+// cancelled or times out.
 type client struct {
 	host     Host
 	recorder Recorder
--- a/internal/simulation/fake/clients.go
+++ b/internal/simulation/fake/clients.go
@@ -22,7 +22,7 @@
 }
 
 const (
-	minRateFactor        = 0.01   // lowest multiple of the request rate; lower values of RateFactor count as this one
+	minRateFactor        = 0.01   // lower limit of RateFactor; lower values count as this one
 	minFirstRequestDelay = 20.0   // ms, shortest delay from opening a connection to its first request
 	maxFirstRequestDelay = 1800.0 // ms, longest delay from opening a connection to its first request
 	minRetryTime         = 50.0   // ms; a client sends no retry with less time to the deadline
@@ -37,9 +37,9 @@
 	Classes     []Class
 	RequestRate float64 // requests per second, without retries
 	Seed        uint64
-	Retries     int     // most retries of a request
+	Retries     int     // maximum number of retries of a request
 	Backoff     float64 // mean delay of a retry, in ms; the delay is jittered by up to 50%
-	Until       float64 // time in ms from which on no new requests are sent; retries still are
+	Until       float64 // time in ms at which the clients stop sending new requests; they still send retries
 	Recorder    Recorder
 	Behavior    *ClientBehavior
 }
--- a/internal/simulation/fake/malformed.go
+++ b/internal/simulation/fake/malformed.go
@@ -37,7 +37,7 @@
 // smuggledRequest is a request in the body of another one, which a balancer must not treat as a request.
 const smuggledRequest = "GET /status/hidden HTTP/1.1\r\nX-Txn: hidden%d\r\nX-Lane: status\r\nX-Remaining: 1\r\n\r\n"
 
-// malformedInputs are drawn by index, so their number and their sequence enter the hash of a run.
+// malformedInputs are drawn by index, so the hash of a run depends on their number and their sequence.
 var malformedInputs = []malformedInput{
 	{"bytes that are not HTTP", "\x00\x01\x02 nothing that can be read \r\n\r\n", 1},
 	{"oversized head", "GET /status/x HTTP/1.1\r\nX-Long: " + strings.Repeat("y", 40000), 1},
--- a/internal/simulation/fake/service.go
+++ b/internal/simulation/fake/service.go
@@ -13,13 +13,13 @@
 // capacity rises linearly to full capacity.
 type ServiceModel struct {
 	Cores               int
-	MaxConcurrency      int     // most requests in service
-	QueueLength         int     // most queued requests
+	MaxConcurrency      int     // maximum number of requests in service
+	QueueLength         int     // maximum number of queued requests
 	CrowdingThreshold   int     // requests in flight above which crowding slows service down
 	CrowdingFactor      float64 // relative increase of service times by each request above CrowdingThreshold
 	WarmUpStartFraction float64 // capacity at the start, as a fraction of full capacity
 	WarmUpDuration      float64 // ms from the start to full capacity
-	OverloadMultiple    float64 // load that crashes an upstream during its warm-up, as a multiple of its capacity
+	OverloadMultiple    float64 // load above which an upstream crashes during its warm-up, as a multiple of its current capacity
 	OverloadDuration    float64 // ms; the load of an upstream is the work that arrived within the last OverloadDuration
 	DropsExpired        bool    // a queued request is rejected, not started, after its deadline
 }
--- a/internal/simulation/fake/watch.go
+++ b/internal/simulation/fake/watch.go
@@ -91,7 +91,8 @@
 }
 
 // publish sends the endpoints that have changed since the last message, if any. It sends the complete list on a watch
-// without a revision, and on one with a later revision than the agent's.
+// without a revision, and on one with a later revision than the agent's. At revision 0 it sends all endpoints that are
+// not terminated, in a message that is not marked as complete.
 func (w *watch) publish() {
 	if !w.requested || w.conn.closed {
 		return
--- a/internal/simulation/mutation/defects_decisions_test.go
+++ b/internal/simulation/mutation/defects_decisions_test.go
@@ -61,7 +61,7 @@
 				file: "balance/selection.go",
 				old: `	b.dropAboveMeanLoad()
 	n := len(b.candidates)`,
-				new: `	for _, c := range b.candidates { // the newest looks the least used
+				new: `	for _, c := range b.candidates { // selects warming upstreams first
 		if b.warmFraction(c.upstream) < 1 {
 			return c.upstream
 		}
--- a/internal/simulation/names/names.go
+++ b/internal/simulation/names/names.go
@@ -1,10 +1,10 @@
 // Package names defines a Go constant for each string that the simulator stores or hashes.
 //
 // Fault types and rules are written in scenario files, reports and command lines.
-// Names of random streams, processes, machines and scheduled events determine the random numbers, the order of events
-// and the hash of a run.
+// The names of random streams, processes, machines and scheduled events determine the random numbers, the order of
+// events and the hash of a run.
 // No value may change: stored scenarios could no longer be read, or runs could no longer be compared by their hash.
-// The keys of scenario files are the JSON tags of scenario.Scenario.
+// The keys of scenario files are the TOML tags of scenario.Scenario.
 package names
 
 // FaultType is the name of a fault type in scenario files and on the command line.
@@ -78,7 +78,7 @@
 const (
 	LostRequest            Rule = "lost"         // a request that a balancer received got no response
 	LateResponse           Rule = "late"         // a response arrived after the deadline of its request
-	ExtraResponse          Rule = "second"       // a balancer sent a second response or data without a request
+	ExtraResponse          Rule = "second"       // a balancer sent a second response, or data that belongs to no valid response
 	CrossedResponse        Rule = "crossed"      // a client got the response to another request
 	DuplicateExecution     Rule = "twice"        // a request that must be executed at most once was executed again
 	FalseRejection         Rule = "refusal"      // a balancer rejected a request that an upstream executed
@@ -93,7 +93,7 @@
 	LeakedState            Rule = "left-over"    // a balancer had unfinished work or open descriptors when idle or at exit
 	CounterMismatch        Rule = "counters"     // a balancer's counters differ from the events recorded on the wire
 	Panic                  Rule = "crash"        // the program panicked or ran too many loop iterations within a second
-	ShutdownTimeout        Rule = "no-end"       // a balancer did not exit before the shutdown timeout
+	ShutdownTimeout        Rule = "no-end"       // a balancer was still running when the platform may kill it, or at the end of the run
 )
 
 // Rules contains all rules.
@@ -114,7 +114,7 @@
 	ProcessSeed           = "process/"    // followed by the process, or by NestedCallerSeed
 	NestedCallerSeed      = "chain/"      // followed by the process of the upstream that makes the calls
 	UpstreamStream        = "upstream/"   // followed by the upstream
-	UpstreamFaultStream   = "trouble/"    // followed by one of the last four constants, a slash and the upstream
+	UpstreamFaultStream   = "trouble/"    // followed by one of the last four constants of this list, a slash and the upstream
 	ClientArrivalStream   = "callers/"    // followed by the zone
 	ClientRequestStream   = "client/"     // followed by the zone
 	MalformedInputStream  = "rude/"       // followed by the zone
@@ -145,7 +145,8 @@
 )
 
 // Names of scheduled events.
-// Each comment says what happens at the event, and before that what follows the name or which argument it has.
+// The comment of each name states what follows the name or which argument it takes, and then what happens at the event.
+// The last four names are events within a fault: a slash and the ID of the fault follow them.
 const (
 	BalancerStart   = "start/"     // followed by the balancer; its first process starts
 	BalancerRestart = "again/"     // followed by the process that has exited; its successor starts
--- a/internal/simulation/scenario/fault_specs.go
+++ b/internal/simulation/scenario/fault_specs.go
@@ -153,7 +153,7 @@
 	},
 	{
 		Name:        names.FragmentedWrites,
-		Description: "writes are split into small segments, and some are short",
+		Description: "writes are split into segments of random sizes, and some are short",
 		Size:        SizeSpec{Meaning: "fraction of writes", Max: 1, generated: valueRange{0.1, 1}},
 		duration:    valueRange{2, 15},
 	},
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -28,7 +28,7 @@
 // TestGenerate checks that equal arguments give equal scenarios, and that only faults of the given types are generated.
 func TestGenerate(t *testing.T) {
 	if d := cmp.Diff(Generate(5, Options{}), Generate(5, Options{})); d != "" {
-		t.Error(d)
+		t.Errorf("two scenarios of the same seed differ: %s", d)
 	}
 	types := []names.FaultType{names.PartitionWithReset, names.StallBalancer}
 	for _, f := range Generate(9, Options{FaultTypes: types}).Faults {
--- a/internal/simulation/simnet/kernel.go
+++ b/internal/simulation/simnet/kernel.go
@@ -67,7 +67,7 @@
 	return count, nil
 }
 
-// Wake schedules an iteration of the loop at the present time.
+// Wake schedules an iteration of the loop at the current time.
 func (p *Process) Wake() {
 	p.woken = true
 	p.scheduleIterationBy(p.net.now)
--- a/internal/simulation/simnet/network_test.go
+++ b/internal/simulation/simnet/network_test.go
@@ -118,18 +118,18 @@
 	a.Loop().Post(func() { events.connect(a) })
 	net.Run(50)
 	if events.connected != 1 || events.accepted != 1 {
-		t.Fatalf("before the partition: %+v", *events)
+		t.Fatalf("before the partition: %+v, want 1 connected and 1 accepted", *events)
 	}
 	net.Partition("east", "west")
 	a.Loop().Post(func() { a.Write(firstDescriptor, []byte("lost")) })
 	a.Loop().Post(func() { events.connect(a) })
 	net.Run(5000)
 	if events.connected != 1 || events.reset+events.closed != 0 {
-		t.Errorf("during the partition: %+v", *events)
+		t.Errorf("during the partition: %+v, want 1 connected, 0 reset and 0 closed", *events)
 	}
 	net.Heal("east", "west", ResetConnections)
 	net.Run(7000)
 	if events.connected != 2 || events.reset != 1 || events.closed != 1 {
-		t.Errorf("after the partition: %+v", *events)
+		t.Errorf("after the partition: %+v, want 2 connected, 1 reset and 1 closed", *events)
 	}
 }
--- a/internal/simulation/simnet/process.go
+++ b/internal/simulation/simnet/process.go
@@ -20,7 +20,7 @@
 	name     string
 	machine  string
 	zone     string
-	id       uint64 // hash of the seed and the name; orders events of the same time
+	id       uint64 // hash of the seed and the name; orders events at the same time
 	rng      randstream.Stream
 	loop     *loop.Loop
 	onExit   func() // called after the loop has stopped; may be nil
@@ -69,7 +69,7 @@
 // OpenDescriptors returns the number of open descriptors.
 func (p *Process) OpenDescriptors() int { return p.openDescriptors }
 
-// Start starts the process's loop at the present time.
+// Start starts the process's loop at the current time.
 // If onExit is not nil, it is called once the loop has stopped. It is not called after Kill.
 func (p *Process) Start(onExit func()) {
 	p.onExit = onExit
--- a/internal/simulation/simnet/scheduler.go
+++ b/internal/simulation/simnet/scheduler.go
@@ -82,9 +82,9 @@
 // It covers the time and kind of each step, and its process or the connection and size of its segment.
 func (n *Network) Hash() uint64 { return n.hash }
 
-// enqueue adds an event to the queue. An event in the past is handled at the present time.
+// enqueue adds an event to the queue. An event whose time is in the past is handled at the current time.
 // source identifies the origin of the event, and count is the number of events of that origin.
-// They determine the order of events of the same time.
+// They determine the order of events at the same time.
 // An additional event of another origin therefore does not change the order of the others.
 func (n *Network) enqueue(e event, source uint64, count *uint64) {
 	*count++
@@ -93,8 +93,8 @@
 	n.queue.push(e)
 }
 
-// Schedule calls a function at a virtual time in ms, or at the present time if at is in the past.
-// The name determines the order of events of the same time.
+// Schedule calls a function at a virtual time in ms, or at the current time if at is in the past.
+// The name determines the order of events at the same time.
 func (n *Network) Schedule(at float64, name string, callback func()) {
 	var count uint64
 	n.enqueue(event{at: at, callback: callback}, randstream.Hash(n.seed, name), &count)
--- a/internal/simulation/simnet/socket.go
+++ b/internal/simulation/simnet/socket.go
@@ -16,8 +16,8 @@
 	// writableThreshold is the number of bytes in transit or unread up to which a socket is reported as writable.
 	writableThreshold = maxWindowBytes * 2 / 3
 
-	// shortWriteChance is the probability that a fragmented write accepts only part of the data.
-	// Linux does the same if the send buffer is nearly full.
+	// shortWriteChance is the probability that a fragmented write accepts a random number of bytes, usually not all.
+	// Linux also accepts only part of the data if the send buffer is nearly full.
 	shortWriteChance = 0.3
 )
 
@@ -52,7 +52,7 @@
 	inFlight       int  // bytes that this end wrote and the peer has not read
 	outgoing       pipe
 	rng            *randstream.Stream // shared by both ends of the connection
-	tiebreaker     uint64             // identifies this end, to order events of the same time
+	tiebreaker     uint64             // identifies this end, to order events at the same time
 	eventCount     uint64             // events that this end has enqueued
 }
 
