--- a/internal/simulation/checker/checker_test.go
+++ b/internal/simulation/checker/checker_test.go
@@ -10,6 +10,7 @@
 // body is the response body of an upstream.
 var body = []byte("body")
 
+// TestResponseRules checks the rules for the time, the number and the body of responses.
 func TestResponseRules(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
 		{"served", "", testEnvironment{}, func(c *Checker) {
@@ -36,6 +37,7 @@
 	})
 }
 
+// TestLostRequestRule checks which requests without a response are violations.
 func TestLostRequestRule(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
 		{"timed out", names.LostRequest, testEnvironment{}, func(c *Checker) { c.ResponseTimedOut("a", 1500) }},
@@ -51,6 +53,7 @@
 	})
 }
 
+// TestExecutionRules checks the rules for repeated executions and for executions of rejected requests.
 func TestExecutionRules(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
 		{"non-idempotent request twice", names.DuplicateExecution, testEnvironment{}, func(c *Checker) {
@@ -90,6 +93,7 @@
 	})
 }
 
+// TestAttemptRules checks the rules for the number, the time and the content of attempts.
 func TestAttemptRules(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
 		{"after the response", names.AttemptAfterResponse, testEnvironment{}, func(c *Checker) {
@@ -116,6 +120,7 @@
 	})
 }
 
+// TestUpstreamRules checks the rules for attempts to draining upstreams and for crashes of warming upstreams.
 func TestUpstreamRules(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
 		{"sent to a draining upstream", names.DrainingUpstreamUsed, testEnvironment{}, func(c *Checker) {
@@ -153,6 +158,7 @@
 	})
 }
 
+// TestMalformedInputRule checks which results of malformed input are violations.
 func TestMalformedInputRule(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
 		{"served", names.MalformedInputAccepted, testEnvironment{}, func(c *Checker) { handleMalformedInput(c, "noise", 200, 10) }},
@@ -165,6 +171,7 @@
 	})
 }
 
+// TestCounterRule checks the comparison of a balancer's counters with the records.
 func TestCounterRule(t *testing.T) {
 	runCheckerTests(t, []checkerTest{
 		{"counted with another outcome", names.CounterMismatch, testEnvironment{}, func(c *Checker) {
--- a/internal/simulation/cluster/cluster_test.go
+++ b/internal/simulation/cluster/cluster_test.go
@@ -106,7 +106,7 @@
 			reportViolations(t, "with the fault", &faulty)
 			reportViolations(t, "without the fault", &healthy)
 			if faulty.Hash == healthy.Hash {
-				t.Error("the fault has no effect")
+				t.Error("the runs with and without the fault have the same hash")
 			}
 			if faulty.Counts.Requests < 100 || faulty.Counts.Served == 0 {
 				t.Errorf("counts %+v, want at least 100 requests, some of them served", faulty.Counts)
--- a/internal/simulation/faultinject/schedule_test.go
+++ b/internal/simulation/faultinject/schedule_test.go
@@ -24,7 +24,7 @@
 		_, err := LoadFileRules(file)
 		var invalid *ScheduleError
 		if !errors.As(err, &invalid) || invalid.File != file || invalid.Path != tt.path {
-			t.Errorf("%s: %v, want path %q", tt.name, err, tt.path)
+			t.Errorf("%s: error %v, want a *ScheduleError with path %q", tt.name, err, tt.path)
 		}
 	}
 }
@@ -32,6 +32,6 @@
 // TestMissingSchedule checks that Load returns the error of the file system if a schedule can't be read.
 func TestMissingSchedule(t *testing.T) {
 	if _, err := Load("/nowhere/schedule.json", nil); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("%v, want %v", err, fs.ErrNotExist)
+		t.Errorf("error %v, want %v", err, fs.ErrNotExist)
 	}
 }
--- a/internal/simulation/scenario/scenario_test.go
+++ b/internal/simulation/scenario/scenario_test.go
@@ -20,7 +20,7 @@
 			t.Fatalf("seed %d: %v\n%s", seed, err, s.Marshal())
 		}
 		if d := cmp.Diff(s, again); d != "" {
-			t.Fatalf("seed %d: %s", seed, d)
+			t.Fatalf("seed %d: the parsed scenario differs from the marshalled one: %s", seed, d)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		_, err := Parse("x.toml", []byte(tt.text))
 		var invalid *Error
 		if !errors.As(err, &invalid) {
-			t.Errorf("%s: %v, want an *Error", tt.name, err)
+			t.Errorf("%s: error %v, want an *Error", tt.name, err)
 			continue
 		}
 		if invalid.File != "x.toml" || invalid.Path != tt.path || !strings.Contains(invalid.Reason, tt.reason) {
@@ -106,7 +106,7 @@
 		_, err := Parse("x.toml", []byte(tt.text))
 		var invalid *Error
 		if !errors.As(err, &invalid) || invalid.Line != tt.line {
-			t.Errorf("%s: %v, want line %d", tt.name, err, tt.line)
+			t.Errorf("%s: error %v, want an *Error with line %d", tt.name, err, tt.line)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 // TestLoadMissingFile checks that Load returns the error of the file system for a file that does not exist.
 func TestLoadMissingFile(t *testing.T) {
 	if _, err := Load("/nowhere/x.toml"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("%v, want %v", err, fs.ErrNotExist)
+		t.Errorf("error %v, want %v", err, fs.ErrNotExist)
 	}
 }
 
@@ -134,7 +134,7 @@
 			t.Fatalf("%v\n%s", err, s.Marshal())
 		}
 		if d := cmp.Diff(s, again); d != "" {
-			t.Fatal(d)
+			t.Fatalf("the parsed scenario differs from the marshalled one: %s", d)
 		}
 	})
 }
--- a/internal/simulation/simnet/socket.go
+++ b/internal/simulation/simnet/socket.go
@@ -48,7 +48,7 @@
 	lastReadSentAt float64     // ms, when the peer wrote the byte that was read last
 	receivedFIN    bool
 	sentFIN        bool
-	writeBlocked   bool // the last write accepted only part of its data
+	writeBlocked   bool // the last write did not accept all of its data
 	inFlight       int  // bytes that this end wrote and the peer has not read
 	outgoing       pipe
 	rng            *randstream.Stream // shared by both ends of the connection
@@ -278,7 +278,7 @@
 	s.outgoing.send(segment{data: append([]byte(nil), data...)})
 }
 
-// closeWrite sends a FIN, unless one was sent or the connection is not established.
+// closeWrite sends a FIN. It does nothing if one was sent, or if the connection is reset or not established.
 func (s *socket) closeWrite() {
 	if !s.sentFIN && !s.isReset && !s.connecting {
 		s.sentFIN = true
