--- a/internal/simulation/fake/client_conn.go
+++ b/internal/simulation/fake/client_conn.go
@@ -168,7 +168,7 @@
 	call := c.pending[0]
 	response := c.decoder.Response()
 	c.pending = c.pending[1:]
-	if !call.written { // response to an incomplete request: neither of them is recorded
+	if !call.written { // the balancer has not accepted the incomplete request, so neither it nor the response is recorded
 		c.conn.close()
 		call.end(callFailed)
 		return
