--- a/internal/simulation/simnet/socket.go
+++ b/internal/simulation/simnet/socket.go
@@ -16,8 +16,8 @@
 	// writableThreshold is the number of bytes in transit or unread up to which a socket is reported as writable.
 	writableThreshold = maxWindowBytes * 2 / 3
 
-	// shortWriteChance is the probability that a fragmented write accepts only part of the data.
-	// Linux does the same if the send buffer is nearly full.
+	// shortWriteChance is the probability that a fragmented write accepts a random number of bytes, usually not all.
+	// Linux also accepts only part of the data if the send buffer is nearly full.
 	shortWriteChance = 0.3
 )
 
@@ -48,11 +48,11 @@
 	lastReadSentAt float64     // ms, when the peer wrote the byte that was read last
 	receivedFIN    bool
 	sentFIN        bool
-	writeBlocked   bool // the last write accepted only part of its data
+	writeBlocked   bool // the last write did not accept all of its data
 	inFlight       int  // bytes that this end wrote and the peer has not read
 	outgoing       pipe
 	rng            *randstream.Stream // shared by both ends of the connection
-	tiebreaker     uint64             // identifies this end, to order events of the same time
+	tiebreaker     uint64             // identifies this end, to order events at the same time
 	eventCount     uint64             // events that this end has enqueued
 }
 
@@ -278,7 +278,7 @@
 	s.outgoing.send(segment{data: append([]byte(nil), data...)})
 }
 
-// closeWrite sends a FIN, unless one was sent or the connection is not established.
+// closeWrite sends a FIN. It does nothing if one was sent, or if the connection is reset or not established.
 func (s *socket) closeWrite() {
 	if !s.sentFIN && !s.isReset && !s.connecting {
 		s.sentFIN = true
