--- a/cmd/salttrack/streaming_test.go
+++ b/cmd/salttrack/streaming_test.go
@@ -15,12 +15,13 @@
 	"time"
 )
 
-// longBodySize is the length of a body in bytes. It equals the memory limit of the program in TestLongBodies.
-const longBodySize = 32 << 20
+// streamedBodySize is the length of a streamed body in bytes. It equals the memory limit of the program in TestStreamedBodies.
+const streamedBodySize = 32 << 20
 
-// longBody returns a body whose checksum changes if any byte is lost, repeated or moved.
-var longBody = sync.OnceValue(func() []byte {
-	p := make([]byte, longBodySize)
+// streamedBody returns the body of the streamed requests and responses.
+// Its checksum changes if any byte is lost, repeated or moved.
+var streamedBody = sync.OnceValue(func() []byte {
+	p := make([]byte, streamedBodySize)
 	for i := range p {
 		p[i] = byte(i>>16) ^ byte(i>>8)*31 ^ byte(i)
 	}
@@ -33,98 +34,99 @@
 	return h.Sum64()
 }
 
-// longBodyTest is a program that streams request and response bodies. The receivers of the bodies pause until resume is set.
-type longBodyTest struct {
+// streamedBodyTest is a program that streams request and response bodies. The receivers of the bodies pause until resume is set.
+type streamedBodyTest struct {
 	*program
 	resume atomic.Bool
 }
 
-func (l *longBodyTest) pause() {
-	for !l.resume.Load() {
+func (s *streamedBodyTest) pause() {
+	for !s.resume.Load() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // serve is the handler of the upstreams.
-// It responds to a GET with the long body, and to a POST with the length and checksum of the body that it received.
-func (l *longBodyTest) serve(w http.ResponseWriter, r *http.Request) {
+// It responds to a GET with a streamed body, and to a POST with the length and checksum of the body that it received.
+func (s *streamedBodyTest) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method == "GET" {
 		if strings.HasSuffix(r.URL.Path, "/sized") {
-			w.Header().Set("Content-Length", strconv.Itoa(longBodySize))
+			w.Header().Set("Content-Length", strconv.Itoa(streamedBodySize))
 		}
-		w.Write(longBody())
+		w.Write(streamedBody())
 		return
 	}
 	begin := make([]byte, 1000)
 	n, _ := io.ReadFull(r.Body, begin)
-	l.pause()
+	s.pause()
 	rest, err := io.ReadAll(r.Body)
 	if err == nil {
 		fmt.Fprint(w, n+len(rest), " ", checksum(append(begin[:n], rest...)))
 	}
 }
 
-// download requests the long body, with a Content-Length or chunked, and checks it. It calls beforeBody once the response has started.
-func (l *longBodyTest) download(n int, beforeBody func()) {
-	response, err := l.send(request{class: "read", path: []string{"sized", "chunked"}[n%2], id: fmt.Sprint("down", n), remaining: "5"})
+// receiveStreamedResponse requests a streamed response, with a Content-Length or chunked, and checks its body.
+// It calls beforeBody once the response has started.
+func (s *streamedBodyTest) receiveStreamedResponse(n int, beforeBody func()) {
+	response, err := s.send(request{class: "read", path: []string{"sized", "chunked"}[n%2], id: fmt.Sprint("response", n), remaining: "5"})
 	beforeBody()
-	if err != nil || response.StatusCode != 200 || (response.ContentLength == longBodySize) != (n%2 == 0) {
-		l.t.Errorf("download %d: %v %v", n, response, err)
+	if err != nil || response.StatusCode != 200 || (response.ContentLength == streamedBodySize) != (n%2 == 0) {
+		s.t.Errorf("streamed response %d: %v %v", n, response, err)
 		return
 	}
-	l.pause()
-	if body, err := io.ReadAll(response.Body); err != nil || checksum(body) != checksum(longBody()) {
-		l.t.Errorf("download %d: %d bytes, %v", n, len(body), err)
+	s.pause()
+	if body, err := io.ReadAll(response.Body); err != nil || checksum(body) != checksum(streamedBody()) {
+		s.t.Errorf("streamed response %d: %d bytes, %v", n, len(body), err)
 	}
 }
 
-// upload sends the long body, with a Content-Length or chunked, and checks the length and checksum that the upstream received.
-func (l *longBodyTest) upload(n int) {
-	var body io.Reader = bytes.NewReader(longBody())
+// sendStreamedRequest sends a streamed request, with a Content-Length or chunked, and checks the length and checksum that the upstream received.
+func (s *streamedBodyTest) sendStreamedRequest(n int) {
+	var body io.Reader = bytes.NewReader(streamedBody())
 	if n%2 == 0 {
 		body = io.MultiReader(body) // hides the length from package http, which then sends the body chunked
 	}
-	response, err := l.send(request{class: "pay", path: "x", id: fmt.Sprint("up", n), remaining: "60", body: body})
+	response, err := s.send(request{class: "pay", path: "x", id: fmt.Sprint("request", n), remaining: "60", body: body})
 	if err != nil {
-		l.t.Errorf("upload %d: %v", n, err)
+		s.t.Errorf("streamed request %d: %v", n, err)
 		return
 	}
-	want := fmt.Sprint(longBodySize, " ", checksum(longBody()))
+	want := fmt.Sprint(streamedBodySize, " ", checksum(streamedBody()))
 	if text, err := io.ReadAll(response.Body); err != nil || response.StatusCode != 200 || string(text) != want {
-		l.t.Errorf("upload %d: %d %q %v", n, response.StatusCode, text, err)
+		s.t.Errorf("streamed request %d: %d %q %v", n, response.StatusCode, text, err)
 	}
 }
 
 // Ten bodies of 32 MB are streamed in both directions at once, ten times the memory limit of 32 MB, while the receivers pause.
 // All bodies arrive completely, and the memory in use does not grow with them.
-func TestLongBodies(t *testing.T) {
-	const downloads, uploads = 6, 4
-	l := &longBodyTest{}
-	e := newEnvironment(t, l.serve, l.serve)
-	l.program = start(t, e.config(func(config map[string]any) {
+func TestStreamedBodies(t *testing.T) {
+	const responses, requests = 6, 4
+	s := &streamedBodyTest{}
+	e := newEnvironment(t, s.serve, s.serve)
+	s.program = start(t, e.config(func(config map[string]any) {
 		config["limits"] = map[string]any{"cores": 1.0, "memory_mb": 32, "sockets": 256}
 		pay := classOf(settingsOf(config), 1)
 		pay["on_time_ms"], pay["deadline_ms"] = 60000, 60000 // long, since the fake upstreams may be slow
 	}))
 	var streams, begun sync.WaitGroup
-	begun.Add(downloads)
-	for n := range downloads {
-		streams.Go(func() { l.download(n, begun.Done) })
+	begun.Add(responses)
+	for n := range responses {
+		streams.Go(func() { s.receiveStreamedResponse(n, begun.Done) })
 	}
-	for n := range uploads {
-		streams.Go(func() { l.upload(n) })
+	for n := range requests {
+		streams.Go(func() { s.sendStreamedRequest(n) })
 	}
 	begun.Wait()
-	l.resume.Store(true)
+	s.resume.Store(true)
 	streams.Wait()
-	peakMB := l.usage().peakMB
+	peakMB := s.usage().peakMB
 	t.Logf("peak memory %.1f MB with 320 MB of bodies", peakMB)
 	if peakMB > 105 { // above the memory limit, since the race detector multiplies the memory in use
 		t.Errorf("peak memory %.1f MB, at most 105 MB allowed", peakMB)
 	}
-	l.terminate()
-	if c := l.latestCounters(); c("invariant_violations") != 0 || c("body_buffers_in_use") != 0 || c("upstream_responses_streamed") != downloads || c("client_requests_streamed") != uploads {
-		t.Errorf("counters %v", l.counters())
+	s.terminate()
+	if c := s.latestCounters(); c("invariant_violations") != 0 || c("body_buffers_in_use") != 0 || c("upstream_responses_streamed") != responses || c("client_requests_streamed") != requests {
+		t.Errorf("counters %v", s.counters())
 	}
 }
 
@@ -140,9 +142,9 @@
 		return
 	}
 	if strings.HasSuffix(r.URL.Path, "/sized") {
-		w.Header().Set("Content-Length", strconv.Itoa(longBodySize))
+		w.Header().Set("Content-Length", strconv.Itoa(streamedBodySize))
 	}
-	w.Write(longBody()[:1<<20])
+	w.Write(streamedBody()[:1<<20])
 	panic(http.ErrAbortHandler)
 }
 
@@ -183,7 +185,7 @@
 		framing, chunkHeader string
 		malformed            bool
 	}{
-		{framing: fmt.Sprint("Content-Length: ", longBodySize)},
+		{framing: fmt.Sprint("Content-Length: ", streamedBodySize)},
 		{framing: "Transfer-Encoding: chunked", chunkHeader: "100000\r\n"},
 		{framing: "Transfer-Encoding: chunked", chunkHeader: "80000\r\n", malformed: true},
 	} {
@@ -196,7 +198,7 @@
 		}
 		fmt.Fprintf(conn, "POST /pay/x HTTP/1.1\r\nX-Txn: cut%d\r\nX-Lane: pay\r\nX-Remaining: 5\r\nExpect: 100-continue\r\n%s\r\n\r\n", i, tt.framing)
 		expectStatus(100)
-		fmt.Fprintf(conn, "%s%s", tt.chunkHeader, longBody()[:1<<19])
+		fmt.Fprintf(conn, "%s%s", tt.chunkHeader, streamedBody()[:1<<19])
 		p.waitFor("the request at the upstream", func() bool { return e.upstreams[0].requests.Load() > before })
 		if tt.malformed {
 			fmt.Fprint(conn, "\r\nzz\r\n")
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -100,17 +100,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	overrides := map[string]string{}
+	environmentValues := map[string]string{}
 	for _, variable := range variables {
-		overrides[variable] = env(variable)
+		environmentValues[variable] = env(variable)
 	}
 	parser := configParser{file: path}
-	return parser.parse(text, overrides)
+	return parser.parse(text, environmentValues)
 }
 
-// Parse parses the text of a configuration. The overrides are values by environment variable.
-// An override that is not empty takes precedence over the value in the text. The error is a *ConfigError.
-func Parse(text []byte, overrides map[string]string) (*Config, error) {
+// Parse parses the text of a configuration. The keys of environmentValues are names of environment variables.
+// An environment value that is not empty takes precedence over the value in the text. The error is a *ConfigError.
+func Parse(text []byte, environmentValues map[string]string) (*Config, error) {
 	parser := configParser{}
-	return parser.parse(text, overrides)
+	return parser.parse(text, environmentValues)
 }
--- a/internal/node/config_parser.go
+++ b/internal/node/config_parser.go
@@ -31,16 +31,16 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// override replaces the values of the file for which an environment variable is set.
-// The keys of overrides are names of environment variables.
-func (f *file) override(overrides map[string]string) {
+// setEnvironmentValues replaces the values of the file for which an environment variable is set.
+// The keys of environmentValues are names of environment variables.
+func (f *file) setEnvironmentValues(environmentValues map[string]string) {
 	for variable, field := range map[string]*string{
 		nameVariable:      &f.Name,
 		listenVariable:    &f.Listen,
 		discoveryVariable: &f.Discovery,
 		adminVariable:     &f.Admin,
 	} {
-		if text := overrides[variable]; text != "" {
+		if text := environmentValues[variable]; text != "" {
 			*field = text
 		}
 	}
@@ -56,12 +56,12 @@
 	return &ConfigError{File: p.file, Path: path, Value: value, Allowed: allowed, Err: cause}
 }
 
-func (p *configParser) parse(text []byte, overrides map[string]string) (*Config, error) {
+func (p *configParser) parse(text []byte, environmentValues map[string]string) (*Config, error) {
 	f := file{Limits: Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}}
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, p.fail("", "", "", err)
 	}
-	f.override(overrides)
+	f.setEnvironmentValues(environmentValues)
 	config := &Config{Name: f.Name, Limits: f.Limits, ListenFD: -1, Seed: parseSeed(f.Seed)}
 	for _, step := range []func(*file, *Config) error{p.addresses, p.limits, p.cachedEndpoints, p.settings} {
 		if err := step(&f, config); err != nil {
